--- a/daemon/fleet-record-beats.cc
+++ b/daemon/fleet-record-beats.cc
@@ -13,7 +13,7 @@
 
 void fleet_record_service::on_beats(const box_id& from,
                                     const fleet::beat_batch& batch) {
-  controller_.take_beats(batch, [this, from](fleet::beat_answer answer) {
+  controller_.take_heartbeats(batch, [this, from](fleet::beat_answer answer) {
     *answers_[from].add_answers() = std::move(answer);
   });
   settle_soon();
@@ -68,7 +68,7 @@
   fleet::beat_batch batch = intake_.collect(leader);
   if (batch.beats().empty()) return;
   if (here) {
-    controller_.take_beats(batch, [this](fleet::beat_answer answer) {
+    controller_.take_heartbeats(batch, [this](fleet::beat_answer answer) {
       fleet::beat_answers one;
       *one.add_answers() = std::move(answer);
       intake_.answered(one);
--- a/daemon/fleet-record-service.cc
+++ b/daemon/fleet-record-service.cc
@@ -55,7 +55,7 @@
   settings.worker_stop = context_.settings.worker_stop;
   settings.data_centres = context_.settings.data_centres;
   settings.data_centres.push_back(context_.settings.data_centre.str());
-  settings.beat_address = context_.settings.control_address;
+  settings.heartbeat_address = context_.settings.control_address;
   settings.wall_clock_ms = wall_clock_ms;
   return settings;
 }
@@ -319,15 +319,17 @@
 }
 
 void fleet_record_service::settle_soon() {
-  if (!controller_.unsettled() || std::exchange(settle_armed_, true)) return;
+  if (!controller_.has_pending_decisions() ||
+      std::exchange(settle_armed_, true))
+    return;
   const milliseconds passed = context_.clock.now() - settled_at_;
   settle_timer_.expires_after(
-      std::max(milliseconds(0), controller_.settle_pause() - passed));
+      std::max(milliseconds(0), controller_.decision_interval() - passed));
   settle_timer_.async_wait([this](boost::system::error_code ec) {
     settle_armed_ = false;
     if (ec) return;
     settled_at_ = context_.clock.now();
-    controller_.settle();
+    controller_.decide();
     send_answers();
   });
 }
@@ -351,7 +353,7 @@
 /// Announces a change to the controller and the connected boxes.
 void fleet_record_service::check_role() {
   const raft& it = replica_->state();
-  controller_.leads(it.leads_with_state());
+  controller_.set_leading(it.leads_with_state());
   const bool decides = controller_.leading() && may_decide();
   const uint64_t version = controller_.book().config().version();
   const bool changed = it.role() != last_role_ || it.leader() != last_leader_;
--- a/fleet/busy-leader-test-parts.h
+++ b/fleet/busy-leader-test-parts.h
@@ -186,7 +186,7 @@
 inline controller_settings make_settings() {
   controller_settings settings = test_world::make_settings();
   settings.leases.hold = longest_hold;
-  settings.direct_workers = 0;
+  settings.max_direct_workers = 0;
   return settings;
 }
 
--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -32,7 +32,7 @@
       c.it.next_call = clock_.now() + milliseconds(i % it.first_calls.count());
       c.box = i % it.intakes;
     }
-    leader_.leads(true);
+    leader_.set_leading(true);
     fleet::fleet_request request;
     *request.mutable_put_config() = test_world::make_config(1, 99);
     ask(request);
@@ -84,8 +84,8 @@
   void change_leader() {
     ++term_;
     charged([this] {
-      leader_.leads(false);
-      leader_.leads(true);
+      leader_.set_leading(false);
+      leader_.set_leading(true);
     });
     for (auto& box : boxes_) {
       box->sent.clear();
@@ -198,10 +198,10 @@
       return charged([this] { leader_.tick(); });
     }
     if (source == 1) {
-      const bool due = now - settled_at_ >= leader_.settle_pause();
-      if (!leader_.unsettled() || !due) return 0;
+      const bool due = now - settled_at_ >= leader_.decision_interval();
+      if (!leader_.has_pending_decisions() || !due) return 0;
       settled_at_ = now;
-      return charged([this] { leader_.settle(); });
+      return charged([this] { leader_.decide(); });
     }
     if (source == 2) {
       if (entries_.empty() || entries_.front().lasts > now) return 0;
@@ -226,10 +226,11 @@
     for (const fleet::worker_beat& it : batch.beats()) note_read(it);
     return charged(
         [&] {
-          leader_.take_beats(batch, [this, &box](fleet::beat_answer answer) {
-            if (answer.response().has_orders()) ++out_.answers;
-            box.replies.push_back({clock_.now(), std::move(answer)});
-          });
+          leader_.take_heartbeats(
+              batch, [this, &box](fleet::beat_answer answer) {
+                if (answer.response().has_orders()) ++out_.answers;
+                box.replies.push_back({clock_.now(), std::move(answer)});
+              });
         },
         setting_.cost.read * batch.beats_size());
   }
--- a/fleet/cancel-before-job-test.cc
+++ b/fleet/cancel-before-job-test.cc
@@ -29,7 +29,7 @@
     all.leader().request(
         test_world::make_submit(job, {test_world::make_step(1)}),
         [](const auto&) {});
-    if (it.proposed) all.leader().settle();
+    if (it.proposed) all.leader().decide();
     std::optional<fleet::fleet_status> status;
     all.leader().request(cancel_call(),
                          [&](const auto& r) { status = r.status(); });
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -216,9 +216,9 @@
 void propose_start(boxes& all) {
   all.leader().request(test_world::make_submit(job, {test_world::make_step(1)}),
                        [](const auto&) {});
-  all.leader().settle();
+  all.leader().decide();
   all.record();
-  all.leader().settle();
+  all.leader().decide();
   LONGS_EQUAL(1, all.log().proposed.size());
 }
 
@@ -287,10 +287,10 @@
   request.mutable_beat()->set_sequence(2);
   std::optional<fleet::fleet_response> answer;
   all.leader().request(request, [&](const auto& it) { answer = it; });
-  all.leader().settle();
+  all.leader().decide();
   CHECK_FALSE(answer.has_value());
   all.clock.advance(milliseconds(500));
-  all.leader().settle();
+  all.leader().decide();
   CHECK_TRUE(answer.has_value());
   LONGS_EQUAL(0, answer->orders().starts_size());
   // With its box the start is gone for good: nobody takes it to be alive.
@@ -315,7 +315,7 @@
     std::optional<fleet::fleet_status> status;
     all.leader().request(cancel_call(),
                          [&](const auto& r) { status = r.status(); });
-    all.leader().settle();
+    all.leader().decide();
     CHECK_FALSE_TEXT(status.has_value(), it.name);
     if (it.leader_goes_first) all.elect(1);
     all.commit();
@@ -344,7 +344,7 @@
     std::optional<fleet::fleet_response> answer;
     all.leader().request(request, [&](const auto& r) { answer = r; });
     all.leader().request(cancel_call(), [](const auto&) {});
-    all.leader().settle();
+    all.leader().decide();
     LONGS_EQUAL_TEXT(2, all.log().proposed.size(), it.name);
     if (!it.start_first) {
       std::swap(all.log().proposed[0], all.log().proposed[1]);
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -35,7 +35,7 @@
  public:
   boxes() {
     controller_settings settings = test_world::make_settings();
-    settings.keep_jobs = keep_jobs;
+    settings.finished_job_retention = keep_jobs;
     settings.wall_clock_ms = [this] {
       return static_cast<uint64_t>(clock.now().count());
     };
@@ -56,11 +56,11 @@
 
   /// What the earlier leader had not got recorded is lost.
   void elect(size_t box) {
-    leader().leads(false);
+    leader().set_leading(false);
     log().proposed.clear();
     leads_ = box;
     log().leader_term = ++term_;
-    leader().leads(true);
+    leader().set_leading(true);
     commit();
   }
   /// Records what was proposed, on both boxes.
@@ -75,7 +75,7 @@
     constexpr int most_rounds = 20;
     for (int i = 0; i < most_rounds; ++i) {
       record();
-      leader().settle();
+      leader().decide();
       if (log().proposed.empty()) return;
     }
   }
@@ -101,7 +101,7 @@
                  [this](fleet::fleet_response it) { last_ = std::move(it); });
     while (intake_.has_news()) {
       answers_.clear_answers();
-      leader().take_beats(
+      leader().take_heartbeats(
           intake_.collect(std::to_string(leads_)),
           [this](const auto& it) { *answers_.add_answers() = it; });
       commit();
--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -14,13 +14,13 @@
 
 constexpr const char* service_name = "controller";
 /// Crashes whose last heartbeats lie no further apart have one cause.
-constexpr milliseconds same_time{1'000};
+constexpr milliseconds shared_cause_window{1'000};
 /// A worker whose call is so late may have crashed as well.
-constexpr milliseconds maybe_crashed{1'000};
-constexpr size_t most_crash_times = 256;
+constexpr milliseconds maybe_crashed_after{1'000};
+constexpr size_t max_crash_times = 256;
 
 bool is_near(time_point a, time_point b) {
-  return std::chrono::abs(a - b) <= same_time;
+  return std::chrono::abs(a - b) <= shared_cause_window;
 }
 
 }  // namespace detail
@@ -44,13 +44,13 @@
   return std::any_of(views.begin(), views.end(), [&](const auto& entry) {
     const worker_view& o = entry.second;
     return o.id != it.id && o.known && near(o.told) &&
-           now - std::max(o.told, o.call_due) >= detail::maybe_crashed;
+           now - std::max(o.told, o.call_due) >= detail::maybe_crashed_after;
   });
 }
 
-void fleet_controller::add_findings(const worker_view& it,
-                                    const std::set<run_key>& runs,
-                                    fleet::worker_loss& loss) {
+void fleet_controller::add_crash_findings(const worker_view& it,
+                                          const std::set<run_key>& runs,
+                                          fleet::worker_loss& loss) {
   const bool others = crashed_with_others(it);
   std::map<run_key, crash_finding> findings;
   std::vector<run_key> suspects;
@@ -66,7 +66,7 @@
     lost.set_survived(found->second.survived);
   }
   if (it.known) crash_times_.push_back(it.told);
-  if (crash_times_.size() > detail::most_crash_times) crash_times_.pop_front();
+  if (crash_times_.size() > detail::max_crash_times) crash_times_.pop_front();
   ++metrics_.counter("kestrelreel_worker_crashes_total");
   log_event(detail::service_name, log_level::warn, "worker-crashed")
       .with("worker", it.id.str())
@@ -122,7 +122,7 @@
 void fleet_controller::record_progress(const run_key& run,
                                        const worker_id& worker,
                                        fleet::run_progress progress) {
-  const auto [told, fresh] = sightings_.try_emplace(run, progress);
+  const auto [told, fresh] = recorded_progress_.try_emplace(run, progress);
   if (!fresh && told->second >= progress) return;
   told->second = progress;
   fleet::fleet_command command;
@@ -137,7 +137,7 @@
 /// The next leader must know how far a suspect came: else it takes any end of
 /// its worker for another crash under the task, or for none.
 void fleet_controller::review_suspects() {
-  std::erase_if(sightings_, [&](const auto& p) {
+  std::erase_if(recorded_progress_, [&](const auto& p) {
     return !book_.suspects().contains(p.first.task);
   });
   for (const task_key& key : book_.suspects()) {
@@ -151,7 +151,7 @@
   }
 }
 
-void fleet_controller::note_given_up(const job_book::result& result) {
+void fleet_controller::record_given_up_tasks(const job_book::result& result) {
   for (const job_book::given_up& it : result.crashing) {
     ++metrics_.counter("kestrelreel_tasks_given_up_total");
     log_event(detail::service_name, log_level::warn, "task-given-up")
@@ -179,7 +179,7 @@
   }
 }
 
-void fleet_controller::learn_places() {
+void fleet_controller::load_recorded_places() {
   for (const auto& [id, place] : book_.places()) {
     worker_view& it = workers_.expect(id);
     it.beat.set_address(place.address());
--- a/fleet/controller-evacuations.cc
+++ b/fleet/controller-evacuations.cc
@@ -42,7 +42,7 @@
   commit(std::move(command), respond);
 }
 
-void fleet_controller::note_evacuation(
+void fleet_controller::log_evacuation(
     const fleet::evacuation_order& order) const {
   log_event(detail::service_name, log_level::info, "evacuation-applied")
       .with("data-centre", order.data_centre())
@@ -53,7 +53,7 @@
 
 /// False for a worker to which no start is sent, on whatever road it came: runs
 /// that were recorded for it and that it does not list are given up on.
-bool fleet_controller::takes_starts(const worker_view& it) const {
+bool fleet_controller::accepts_starts(const worker_view& it) const {
   return !it.leaves && !it.beat.draining() &&
          !book_.evacuated().holds(it.beat.data_centre());
 }
--- a/fleet/controller-lag.cc
+++ b/fleet/controller-lag.cc
@@ -9,7 +9,7 @@
 
 constexpr const char* service_name = "controller";
 constexpr milliseconds tick_interval{100};
-constexpr milliseconds report_every{1'000};
+constexpr milliseconds load_report_interval{1'000};
 
 }  // namespace detail
 
@@ -20,19 +20,19 @@
 
 /// What makes things better but is owed to nobody comes last: a leader that is
 /// behind searches less often.
-void fleet_controller::search() {
+void fleet_controller::review_placement() {
   const time_point now = clock_.now();
   if (lag_.behind() &&
-      now - searched_at_ < lag_.stretched(detail::tick_interval)) {
+      now - placement_reviewed_at_ < lag_.stretched(detail::tick_interval)) {
     return;
   }
-  searched_at_ = now;
-  move_held();
-  make_room();
+  placement_reviewed_at_ = now;
+  move_starved_backfill();
+  reserve_capacity();
   scheduler_.report_waits();
 }
 
-void fleet_controller::note_looks() {
+void fleet_controller::record_looks() {
   const uint64_t looks = scheduler_.take_looks();
   if (looks == 0) return;
   load_.looks += looks;
@@ -41,14 +41,14 @@
 
 /// Runs in the book whose order was sent in no answer yet, and those whose
 /// worker does not list them though it was: how far orders are behind the book.
-fleet_controller::orders_behind fleet_controller::count_orders_behind() const {
-  orders_behind out;
+fleet_controller::order_backlog fleet_controller::count_order_backlog() const {
+  order_backlog out;
   for (const auto& [id, it] : workers_.views()) {
     for (const run_key& run : book_.runs_on(id)) {
       if (it.rows.contains(run) || lists_end(it, run)) continue;
       const bool sent = it.sent.contains(run);
       ++(sent ? out.unlisted : out.unsent);
-      if (!sent && is_lasting(run)) ++out.unsent_lasting;
+      if (!sent && is_long_running(run)) ++out.unsent_long_running;
     }
   }
   return out;
@@ -59,7 +59,7 @@
 void fleet_controller::report_load() {
   const time_point now = clock_.now();
   load_.longest_lag = std::max(load_.longest_lag, lag_.lag());
-  if (now - load_.since < detail::report_every) return;
+  if (now - load_.since < detail::load_report_interval) return;
   log_event line(detail::service_name,
                  lag_.behind() ? log_level::info : log_level::debug,
                  "leader-load");
@@ -73,9 +73,9 @@
       .with("answers", load_.answers)
       .with("looks", load_.looks);
   if (lag_.behind()) {
-    const orders_behind orders = count_orders_behind();
+    const order_backlog orders = count_order_backlog();
     line.with("unsent", orders.unsent)
-        .with("unsent-lasting", orders.unsent_lasting)
+        .with("unsent-lasting", orders.unsent_long_running)
         .with("unlisted", orders.unlisted);
   }
   load_ = {};
--- a/fleet/controller-late-ends.cc
+++ b/fleet/controller-late-ends.cc
@@ -9,23 +9,23 @@
 constexpr const char* service_name = "controller";
 /// A worker lists an end that is not acknowledged with its next call, well
 /// within this. One that calls no more leaves its end untold.
-constexpr milliseconds listed_again_within{2'000};
+constexpr milliseconds end_relist_window{2'000};
 
 }  // namespace detail
 
 /// An end is true whether or not its worker's life goes on, and a worker that
 /// is gone lists it no more. It is not acknowledged by this.
-void fleet_controller::take_ends_of_unsure(const fleet::worker_beat& beat) {
+void fleet_controller::record_ends_only(const fleet::worker_beat& beat) {
   worker_view* it = workers_.find(life_of(beat));
-  if (it == nullptr || it->over || losing_.contains(it->id)) return;
+  if (it == nullptr || it->over || proposed_losses_.contains(it->id)) return;
   if (book_.runs_on(it->id).empty()) return;
-  take_ends(*it, beat.ended(), false);
+  record_ends(*it, beat.ended(), false);
 }
 
 /// Recalls a later run of the task, so that the end counts. False while that
 /// run's start is on its way into the log: the end, and what is listed after
 /// it, waits for the worker's next call.
-bool fleet_controller::make_way(const fleet::run_end& end) {
+bool fleet_controller::recall_later_run(const fleet::run_end& end) {
   const task_key key = to_key(end.task());
   const task_entry* task = book_.find(key);
   const fleet::step_spec* step = book_.find_step(key);
@@ -33,18 +33,19 @@
   // One member's end is not its gang's, and a task that lasts has no good end.
   if (step->gang() || step->long_running()) return true;
   if (task->phase == task_phase::waiting && scheduler_.is_proposed(key)) {
-    ended_well_[key] = clock_.now();
+    done_while_proposed_[key] = clock_.now();
     return false;
   }
-  ended_well_.erase(key);
-  const bool later =
+  done_while_proposed_.erase(key);
+  const bool runs_again =
       task->phase == task_phase::running && task->run > run_number(end.run());
-  if (later) recall({key, task->run}, task->worker);
+  if (runs_again) recall_start({key, task->run}, task->worker);
   return true;
 }
 
 /// Takes back a start that was sent in no answer.
-void fleet_controller::recall(const run_key& run, const worker_id& worker) {
+void fleet_controller::recall_start(const run_key& run,
+                                    const worker_id& worker) {
   worker_view* it = workers_.find(worker);
   if (it == nullptr || it->unsent.erase(run) == 0) return;
   log_event(detail::service_name, log_level::info, "start-recalled")
@@ -55,13 +56,13 @@
   propose_loss(*it, {run}, loss_cause::unsent);
 }
 
-void fleet_controller::recall_if_ended(const run_key& run,
-                                       const worker_id& worker) {
-  const auto it = ended_well_.find(run.task);
-  if (it == ended_well_.end()) return;
-  const bool recent = clock_.now() - it->second < detail::listed_again_within;
-  ended_well_.erase(it);
-  if (recent) recall(run, worker);
+void fleet_controller::recall_start_if_done(const run_key& run,
+                                            const worker_id& worker) {
+  const auto it = done_while_proposed_.find(run.task);
+  if (it == done_while_proposed_.end()) return;
+  const bool recent = clock_.now() - it->second < detail::end_relist_window;
+  done_while_proposed_.erase(it);
+  if (recent) recall_start(run, worker);
 }
 
 }  // namespace kestrelreel
--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -9,14 +9,14 @@
 TEST_GROUP_BASE(controller_leases, controller_test){};
 
 TEST(controller_leases, without_the_lease_nothing_is_decided) {
-  run_one();
+  start_one_task();
   world.log.decides = false;
   LONGS_EQUAL(fleet::fleet_unavailable, world.state(7).status());
   LONGS_EQUAL(0, world.beat("a").hold_ms());
 }
 
 TEST(controller_leases, silent_worker_keeps_its_task_until_its_lease_is_over) {
-  run_one();
+  start_one_task();
   const milliseconds over = world.controller.workers().leases().over_after();
   world.beat("b");
   for (milliseconds at{0}; at < over - milliseconds(300);
@@ -31,13 +31,13 @@
 }
 
 TEST(controller_leases, new_leader_waits_out_the_leases_of_the_last) {
-  run_one();
+  start_one_task();
   const std::string state = world.controller.book().save();
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   next.log.leader_term = 2;
   CHECK_TRUE(next.controller.installed(state).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.beat("b");
   next.pass(milliseconds(3'500));
   LONGS_EQUAL(0, next.beat("b").starts_size());
@@ -49,11 +49,11 @@
 }
 
 TEST(controller_leases, new_leader_takes_over_what_the_worker_lists) {
-  run_one();
+  start_one_task();
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   CHECK_TRUE(next.controller.installed(world.controller.book().save()).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.workers["a"] = world.workers["a"];
   LONGS_EQUAL(0, next.beat("a").starts_size());
   for (int i = 0; i < 60; ++i) {
@@ -67,7 +67,7 @@
 }
 
 TEST(controller_leases, crashed_machine_back_under_a_new_id_frees_its_tasks) {
-  run_one();
+  start_one_task();
   world.workers["a2"].set_address("a:1");
   world.workers["a2"].set_worker("a2");
   world.workers["a2"].set_pool("pool");
@@ -85,7 +85,7 @@
 }
 
 TEST(controller_leases, late_and_crossed_heartbeats_prolong_nothing) {
-  run_one();
+  start_one_task();
   fleet::fleet_request old;
   *old.mutable_beat() = world.workers["a"];
   world.beat("a");
@@ -116,10 +116,10 @@
     fresh.controller.request(
         test_world::make_submit(7, {test_world::make_step(1)}),
         [&](const fleet::fleet_response& r) { status = r.status(); });
-    if (it.handed_to_the_log) fresh.controller.settle();
+    if (it.handed_to_the_log) fresh.controller.decide();
     LONGS_EQUAL_TEXT(it.handed_to_the_log ? 1 : 0, fresh.log.proposed.size(),
                      it.name);
-    fresh.controller.leads(false);
+    fresh.controller.set_leading(false);
     LONGS_EQUAL_TEXT(it.status, status, it.name);
   }
 }
@@ -150,7 +150,7 @@
   LONGS_EQUAL(1, world.controller.book().runs_on(worker_id("a")).size());
   // The one in between ordered it; nothing told this box that it led.
   world.log.leader_term += 2;
-  world.controller.leads(true);
+  world.controller.set_leading(true);
   world.pass(milliseconds(1'500));
   LONGS_EQUAL(1, world.controller.book().runs_on(worker_id("a")).size());
 }
@@ -158,15 +158,15 @@
 // A heartbeat from before the run began, held up until another box led, passed
 // for one that should list it: the run was given up on while it went on.
 TEST(controller_leases, run_is_not_missed_in_a_heartbeat_of_unknown_age) {
-  run_one();
+  start_one_task();
   fleet::worker_beat before = world.workers["a"];
   before.clear_running();
   // What lacks room for the run is not sent it again.
   before.set_cpu_milli(500);
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   CHECK_TRUE(next.controller.installed(world.controller.book().save()).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.pass(milliseconds(1'700));
   fleet::fleet_request held_up;
   *held_up.mutable_beat() = before;
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -12,7 +12,7 @@
 
 constexpr const char* service_name = "controller";
 /// A heartbeat may come seconds late, by the users' protocol.
-constexpr milliseconds longest_way{60'000};
+constexpr milliseconds max_heartbeat_delay{60'000};
 
 }  // namespace detail
 
@@ -26,7 +26,7 @@
 
 /// What shows that another writer sent the heartbeat; null where nothing does.
 /// A worker whose pool went out of the configuration runs what it runs.
-const char* fleet_controller::fault_of(const fleet::worker_beat& beat) {
+const char* fleet_controller::find_fault(const fleet::worker_beat& beat) {
   const std::vector<worker_view*>& lives = workers_.lives_of(beat.worker());
   const bool told =
       !lives.empty() && lives.back()->known && born_of(lives.back()->id) > 0;
@@ -37,9 +37,9 @@
   return known && it->beat.pool() == beat.pool() ? nullptr : "unknown pool";
 }
 
-void fleet_controller::refuse_beat(const fleet::worker_beat& beat,
-                                   const char* fault,
-                                   const respond_function& respond) {
+void fleet_controller::reject_heartbeat(const fleet::worker_beat& beat,
+                                        const char* fault,
+                                        const respond_function& respond) {
   ++metrics_.counter("kestrelreel_heartbeats_unusable_total",
                      {{"cause", fault}});
   log_event(detail::service_name, log_level::warn, "heartbeat-unusable")
@@ -55,12 +55,12 @@
 /// Calls are overtaken all the time. One whose clock does not fit its sequence
 /// is no such call: a worker of which every call passes for one gets nothing,
 /// and is given up on while it lives.
-void fleet_controller::note_overtaken(const fleet::worker_beat& beat,
-                                      const worker_view& it) {
+void fleet_controller::log_overtaken(const fleet::worker_beat& beat,
+                                     const worker_view& it) {
   ++metrics_.counter("kestrelreel_heartbeats_overtaken_total");
   const auto behind =
       static_cast<int64_t>(it.beat.clock_ms() - beat.clock_ms());
-  const bool fits = behind <= detail::longest_way.count();
+  const bool fits = behind <= detail::max_heartbeat_delay.count();
   log_event(detail::service_name, fits ? log_level::debug : log_level::info,
             "heartbeat-overtaken")
       .with("worker", it.id.str())
@@ -75,8 +75,8 @@
 /// drains; a life that began after another one and does not drain is not
 /// ended by it, as it may have been held up: what it runs would start twice.
 /// None where no life that is not over is meant.
-std::optional<worker_id> fleet_controller::leaver_of(const std::string& name,
-                                                     uint64_t born) {
+std::optional<worker_id> fleet_controller::find_leaving_incarnation(
+    const std::string& name, uint64_t born) {
   if (born > 0) return life_of(name, born);
   const std::vector<worker_view*>& lives = workers_.lives_of(name);
   const bool earlier = workers_.has_earlier_life(name);
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -15,13 +15,13 @@
 /// A worker to whom something was ordered is answered before one whose lease is
 /// over by so much later: a third of the longest lease, so that leases of the
 /// others hold.
-constexpr milliseconds order_lead{2'300};
+constexpr milliseconds ordered_answer_lead{2'300};
 /// A held call with a start on its way is answered so much later at most: it
 /// comes well before its worker turns elsewhere.
-constexpr milliseconds held_extra{200};
+constexpr milliseconds held_start_grace{200};
 /// A worker calls at least so many times in a lease, whatever the load: a call
 /// or two may be lost, and it still gets work.
-constexpr int least_calls_a_lease = 3;
+constexpr int min_calls_per_lease = 3;
 
 std::vector<run_key> runs_of(const fleet::worker_orders& orders) {
   std::vector<run_key> out;
@@ -44,7 +44,7 @@
 /// True when the run should no longer be alive.
 bool fleet_controller::should_stop(const run_key& run) const {
   const task_entry* task = book_.find(run.task);
-  return moving_.contains(run) || yielding_.contains(run) || task == nullptr ||
+  return moving_.contains(run) || evicting_.contains(run) || task == nullptr ||
          task->phase != task_phase::running || task->run != run.run;
 }
 
@@ -58,21 +58,21 @@
   const milliseconds left =
       milliseconds(static_cast<int64_t>(it.beat.remaining_ms())) - it.delay -
       (clock_.now() - it.told);
-  return left <=
-         settings_.worker_stop + 2 * next_beat(it) + settings_.answer_wait;
+  return left <= settings_.worker_stop + 2 * heartbeat_interval(it) +
+                     settings_.max_answer_wait;
 }
 
-bool fleet_controller::is_lasting(const run_key& run) const {
+bool fleet_controller::is_long_running(const run_key& run) const {
   const fleet::step_spec* step = book_.find_step(run.task);
   return step != nullptr && step->long_running();
 }
 
-void fleet_controller::note_vacated(worker_view& it) {
+void fleet_controller::record_vacated(worker_view& it) {
   if (it.vacated) return;
   const auto& runs = book_.runs_on(it.id);
-  const auto n = static_cast<uint64_t>(
-      std::count_if(runs.begin(), runs.end(),
-                    [this](const run_key& run) { return !is_lasting(run); }));
+  const auto n = static_cast<uint64_t>(std::count_if(
+      runs.begin(), runs.end(),
+      [this](const run_key& run) { return !is_long_running(run); }));
   metrics_.counter("kestrelreel_evictions_total",
                    {{"cause", "worker-leaves"}}) += n;
   log_event(detail::service_name, log_level::info, "worker-vacated")
@@ -85,16 +85,16 @@
 bool fleet_controller::answer_is_due(const worker_view& it,
                                      bool recorded) const {
   // A start that is proposed late in a hold needs the log's time, too.
-  const milliseconds wait = it.was_held
-                                ? settings_.call_hold + detail::held_extra
-                                : settings_.answer_wait;
+  const milliseconds wait =
+      it.was_held ? settings_.idle_call_hold + detail::held_start_grace
+                  : settings_.max_answer_wait;
   if (clock_.now() - it.asked >= wait) return true;
   return recorded && it.proposed.empty() &&
          it.end_proposed <= book_.last_end(it.id);
 }
 
 /// A worker that has turned elsewhere would be granted and ordered nothing.
-bool fleet_controller::give_up_late(worker_view& it) {
+bool fleet_controller::reject_late_call(worker_view& it) {
   const milliseconds age = clock_.now() - it.asked + it.delay;
   if (age < workers_.leases().answer_limit) return false;
   ++metrics_.counter("kestrelreel_answers_late_total");
@@ -121,20 +121,21 @@
     workers_.marks().calling.add(*it);
   }
   workers_.marks().calling.review([&](worker_view& it) {
-    if (!it.respond || give_up_late(it)) return false;
+    if (!it.respond || reject_late_call(it)) return false;
     const bool recorded = record_orders(it);
     if (answer_is_due(it, recorded)) due.push_back(&it);
     return true;
   });
-  const size_t most = settings_.most_answers * leader_lag::usual_percent /
-                      lag_.stretch_percent();
-  answers_left_ = due.size() > most;
+  const size_t most = settings_.max_answers_per_turn *
+                      leader_lag::normal_percent / lag_.stretch_percent();
+  answers_deferred_ = due.size() > most;
   if (due.size() <= most) return due;
   std::vector<std::tuple<time_point, uint64_t, worker_view*>> turns;
   turns.reserve(due.size());
   for (worker_view* it : due) {
     const bool ordered = !it->unsent.empty() || it->awaits_start;
-    const milliseconds lead = ordered ? detail::order_lead : milliseconds(0);
+    const milliseconds lead =
+        ordered ? detail::ordered_answer_lead : milliseconds(0);
     turns.emplace_back(it->over_at - lead, it->ordinal, it);
   }
   std::nth_element(turns.begin(),
@@ -143,7 +144,7 @@
   due.clear();
   for (size_t i = 0; i < most; ++i)
     due.push_back(std::get<worker_view*>(turns[i]));
-  unsettled_ = true;
+  has_pending_decisions_ = true;
   return due;
 }
 
@@ -152,7 +153,7 @@
   fleet::fleet_response response;
   response.set_status(fleet::fleet_ok);
   *response.mutable_orders() = orders_for(it);
-  const milliseconds pause = next_beat(it);
+  const milliseconds pause = heartbeat_interval(it);
   response.mutable_orders()->set_next_beat_ms(
       static_cast<uint64_t>(pause.count()));
   workers_.granted(it, pause);
@@ -168,27 +169,31 @@
 
 /// True where a call that comes too early for work would be long in coming
 /// again.
-bool fleet_controller::holds_calls() const {
-  return interval_for(settings_.beats_per_s) > settings_.idle_beat;
+bool fleet_controller::may_hold_calls() const {
+  return interval_for(settings_.max_heartbeats_per_s) >
+         settings_.idle_heartbeat_interval;
 }
 
 bool fleet_controller::is_idle(const worker_view& it) const {
   return it.rows.empty() && it.proposed.empty() && book_.runs_on(it.id).empty();
 }
 
-milliseconds fleet_controller::next_beat(const worker_view& it) const {
+milliseconds fleet_controller::heartbeat_interval(const worker_view& it) const {
   const bool busy = !it.rows.empty() || !book_.live().empty();
-  const milliseconds wished = busy ? settings_.busy_beat : settings_.idle_beat;
-  milliseconds pause = std::max(wished, interval_for(settings_.beats_per_s));
-  if (holds_calls() && is_idle(it)) {
+  const milliseconds wished = busy ? settings_.busy_heartbeat_interval
+                                   : settings_.idle_heartbeat_interval;
+  milliseconds pause =
+      std::max(wished, interval_for(settings_.max_heartbeats_per_s));
+  if (may_hold_calls() && is_idle(it)) {
     // One whose work has just ended is soon there for more.
     if (it.beat.ended_size() > 0) pause = wished;
     if (it.was_held) {
-      pause = interval_for(settings_.idle_beats_per_s) - settings_.call_hold;
+      pause = interval_for(settings_.max_idle_heartbeats_per_s) -
+              settings_.idle_call_hold;
     }
   }
   const milliseconds most =
-      workers_.leases().hold / detail::least_calls_a_lease;
+      workers_.leases().hold / detail::min_calls_per_lease;
   // Calls with ends come at once all the same: what is put off says nothing.
   return std::min(lag_.stretched(pause), std::max(wished, most));
 }
@@ -198,12 +203,12 @@
 /// a worker's end or of its runs is never held up.
 bool fleet_controller::hold_call(worker_view& it) {
   const bool first = it.over_at == time_point{};
-  it.was_held = holds_calls() && !first && is_idle(it) && !it.leaves &&
+  it.was_held = may_hold_calls() && !first && is_idle(it) && !it.leaves &&
                 !it.beat.draining() && it.beat.ended_size() == 0 &&
-                it.delay < settings_.call_hold;
+                it.delay < settings_.idle_call_hold;
   if (!it.was_held) return false;
-  workers_.marks().held_calls.set(it,
-                                  it.asked + settings_.call_hold - it.delay);
+  workers_.marks().held_calls.set(
+      it, it.asked + settings_.idle_call_hold - it.delay);
   return true;
 }
 
@@ -213,8 +218,8 @@
   orders.set_hold_ms(static_cast<uint64_t>(hold));
   orders.set_last_end(book_.last_end(it.id));
   orders.set_fence(log_.term().value());
-  if (workers_.views().size() <= settings_.direct_workers) {
-    orders.set_beat_at(settings_.beat_address);
+  if (workers_.views().size() <= settings_.max_direct_workers) {
+    orders.set_beat_at(settings_.heartbeat_address);
   }
   add_starts(it, orders);
   add_stops(it, orders);
@@ -230,7 +235,7 @@
   if (it.end_told != orders.last_end()) {
     it.end_told = orders.last_end();
     log_event(detail::service_name,
-              is_near_end(it) ? log_level::info : log_level::debug,
+              is_starting_or_leaving(it) ? log_level::info : log_level::debug,
               "ends-acknowledged")
         .with("worker", it.id.str())
         .with("sequence", it.beat.sequence())
@@ -246,7 +251,7 @@
 
 /// True where the runs in the book ask for more than there is, as the worker's
 /// room has shrunk since they were placed.
-bool fleet_controller::is_overfull(worker_view& it) {
+bool fleet_controller::is_overcommitted(worker_view& it) {
   if (std::exchange(it.load_is_old, false)) it.load = scheduler_.load_of(it);
   return !it.load.fits_in(room_of(it.beat));
 }
@@ -260,7 +265,7 @@
 
 /// A run that was given up on takes room for as long as its worker lists it. A
 /// worker that guards its capacity refuses what doesn't fit beside it.
-void fleet_controller::note_unrecorded(worker_view& it) const {
+void fleet_controller::update_unrecorded_runs(worker_view& it) const {
   if (guards_capacity(it.beat.pool())) return;
   const auto& runs = book_.runs_on(it.id);
   const bool any = std::any_of(it.rows.begin(), it.rows.end(), [&](auto& row) {
@@ -274,11 +279,11 @@
 /// not list yet.
 std::vector<run_key> fleet_controller::starts_for(worker_view& it) {
   // While runs there are being given up on, none of them may begin after all.
-  if (!takes_starts(it) || losing_.contains(it.id)) return {};
+  if (!accepts_starts(it) || proposed_losses_.contains(it.id)) return {};
   // An order in an answer that its worker drops holds room for nothing until
   // its next call; one that was sent in none can be taken back.
   if (lag_.behind() && !scheduler_.is_open(it)) return {};
-  if (is_overfull(it)) return {};
+  if (is_overcommitted(it)) return {};
   std::vector<run_key> out;
   for (const run_key& run : book_.runs_on(it.id)) {
     const bool over = lists_end(it, run) || should_stop(run);
@@ -300,7 +305,7 @@
     start.set_saved(task.saved);
     it.sent[run] = clock_.now();
     it.unsent.erase(run);
-    in_vain_.erase(run.task);
+    placed_in_vain_.erase(run.task);
     it.awaits_start = true;
   }
 }
@@ -313,10 +318,10 @@
     stop.set_run(static_cast<uint32_t>(run.run.value()));
   };
   const bool all = must_vacate(it);
-  if (all) note_vacated(it);
+  if (all) record_vacated(it);
   it.vacated = all;
   for (const run_key& run : book_.runs_on(it.id)) {
-    const bool over = (all && !is_lasting(run)) || should_stop(run);
+    const bool over = (all && !is_long_running(run)) || should_stop(run);
     if (over && !lists_end(it, run)) add(run);
   }
   // What runs there without being recorded was given up on.
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -14,39 +14,39 @@
 constexpr const char* service_name = "controller";
 /// The controller's tick is due every 100 ms. One that comes so late shows that
 /// the process was held up.
-constexpr milliseconds late_tick{400};
+constexpr milliseconds held_up_after{400};
 /// So many late heartbeats between two ticks, and more than one in so many,
 /// show that heartbeats wait unread.
-constexpr unsigned least_late_beats = 3;
-constexpr unsigned late_share = 5;
+constexpr unsigned min_late_heartbeats = 3;
+constexpr unsigned late_share_divisor = 5;
 /// Reading what waits takes less: a worker drops a call after a second.
-constexpr milliseconds catch_up{1'000};
+constexpr milliseconds catch_up_time{1'000};
 /// How much longer a leader that is behind waits for what it has not read yet,
 /// before it gives up on anything. No more: a run whose lease is over is over
 /// however late it reads, and one that lasts must run again within 9 s of its
 /// end, of which the longest lease takes 7.2 and an order one.
-constexpr milliseconds reading_patience{700};
+constexpr milliseconds read_backlog_grace{700};
 /// A worker calls at least this often; one that was silent for longer, while
 /// another life of its machine was heard, is over.
 constexpr milliseconds dead_after{2'000};
 /// Silent workers without runs are looked at this often.
-constexpr milliseconds idle_review{1'000};
+constexpr milliseconds idle_review_interval{1'000};
 /// Silent workers without runs are forgotten after this.
-constexpr milliseconds forget_worker_after{60'000};
+constexpr milliseconds silent_worker_retention{60'000};
 /// A run ordered so long ago, and not there, never will be: covers the time
 /// after which a worker drops an answer, and the way of its next heartbeat.
 constexpr milliseconds order_margin{500};
 /// Such runs are looked for with a pause of so much for each worker: a look at
 /// a worker's runs takes 2 us.
-constexpr std::chrono::microseconds unstarted_pause{400};
+constexpr std::chrono::microseconds unstarted_review_per_worker{400};
 /// True when `o` shows that the life of `it`, at the same place, is over: a
 /// heartbeat of an earlier life may arrive after the next one began, even
 /// several after a cut, seconds apart. Only a worker that got answers lives,
 /// and that has called for a while, by our clock and by its own, and since the
 /// other fell silent.
-bool outlives(const worker_view& o, const worker_view& it,
-              milliseconds patience) {
-  const milliseconds least = sure_life + patience;
+bool has_outlived(const worker_view& o, const worker_view& it,
+                  milliseconds loss_grace) {
+  const milliseconds least = sure_life + loss_grace;
   const milliseconds own_clock(
       static_cast<int64_t>(o.beat.clock_ms() - o.first_clock_ms));
   return o.answered && o.id != it.id && o.told > it.told &&
@@ -57,21 +57,22 @@
 
 /// The first of them that outlives `it`; null where none does.
 const worker_view* find_survivor(const std::vector<worker_view*>& all,
-                                 const worker_view& it, milliseconds patience) {
+                                 const worker_view& it,
+                                 milliseconds loss_grace) {
   const auto found =
       std::find_if(all.begin(), all.end(), [&](const worker_view* other) {
-        return !other->over && outlives(*other, it, patience);
+        return !other->over && has_outlived(*other, it, loss_grace);
       });
   return found == all.end() ? nullptr : *found;
 }
 
 const worker_view* find_replacement(const worker_table& workers,
                                     const worker_view& it,
-                                    milliseconds patience) {
+                                    milliseconds loss_grace) {
   const worker_view* found =
-      find_survivor(workers.at_place(it.beat.machine()), it, patience);
+      find_survivor(workers.at_place(it.beat.machine()), it, loss_grace);
   if (found != nullptr) return found;
-  return find_survivor(workers.at_place(it.beat.address()), it, patience);
+  return find_survivor(workers.at_place(it.beat.address()), it, loss_grace);
 }
 
 }  // namespace detail
@@ -118,9 +119,9 @@
     const auto row = it.rows.find(run);
     if (row != it.rows.end()) lost.set_saved(row->second.saved());
   }
-  if (crashed) add_findings(it, all, loss);
+  if (crashed) add_crash_findings(it, all, loss);
   add_command(std::move(command));
-  losing_[it.id].insert(runs.begin(), runs.end());
+  proposed_losses_[it.id].insert(runs.begin(), runs.end());
   log_event line(detail::service_name, log_level::info, "runs-over");
   line.with("worker", it.id.str())
       .with("runs", runs.size())
@@ -158,37 +159,40 @@
 /// slower to do so until it has caught up. Else it gives up on runs that ended
 /// well and starts their tasks again. One that never catches up gives up all
 /// the same.
-void fleet_controller::review_pace_of_reading() {
+void fleet_controller::review_read_delay() {
   const time_point now = clock_.now();
-  const bool held_up = now - ticked_at_ > detail::late_tick;
-  const bool reads_late = late_beats_ >= detail::least_late_beats &&
-                          late_beats_ * detail::late_share > beats_;
+  const bool held_up = now - ticked_at_ > detail::held_up_after;
+  const bool reads_late =
+      late_heartbeats_since_tick_ >= detail::min_late_heartbeats &&
+      late_heartbeats_since_tick_ * detail::late_share_divisor >
+          heartbeats_since_tick_;
   ticked_at_ = now;
-  beats_ = late_beats_ = 0;
+  heartbeats_since_tick_ = late_heartbeats_since_tick_ = 0;
   if (!held_up && !reads_late) return;
-  if (now >= behind_until_) {
+  if (now >= catching_up_until_) {
     // Held up again and again, it would read on for ever.
-    if (reviewed_) reads_on_until_ = now + detail::reading_patience;
-    reviewed_ = false;
+    if (losses_reviewed_)
+      losses_deferred_until_ = now + detail::read_backlog_grace;
+    losses_reviewed_ = false;
     log_event(detail::service_name, log_level::warn, "reads-late")
         .with("cause", held_up ? "held up" : "late heartbeats")
         .with("effect", "workers are given up on later");
   }
-  behind_until_ = now + detail::catch_up;
+  catching_up_until_ = now + detail::catch_up_time;
 }
 
-bool fleet_controller::reads_on() const {
-  return !reviewed_ && clock_.now() < reads_on_until_;
+bool fleet_controller::defers_losses() const {
+  return !losses_reviewed_ && clock_.now() < losses_deferred_until_;
 }
 
-milliseconds fleet_controller::patience() const {
-  return clock_.now() < behind_until_ ? detail::reading_patience
-                                      : milliseconds(0);
+milliseconds fleet_controller::loss_grace() const {
+  return clock_.now() < catching_up_until_ ? detail::read_backlog_grace
+                                           : milliseconds(0);
 }
 
 /// What the belief rests on that a life is over.
-void fleet_controller::note_survivor(const worker_view& it,
-                                     const worker_view& next) const {
+void fleet_controller::log_survivor(const worker_view& it,
+                                    const worker_view& next) const {
   const time_point now = clock_.now();
   log_event(detail::service_name, log_level::info, "life-outlived")
       .with("worker", it.id.str())
@@ -209,10 +213,10 @@
   for (const std::string& name : workers_.shared_names()) {
     const std::vector<worker_view*>& lives = workers_.lives_of(name);
     for (worker_view* it : lives) {
-      if (losing_.contains(it->id)) continue;
-      const worker_view* next = detail::find_survivor(lives, *it, patience());
+      if (proposed_losses_.contains(it->id)) continue;
+      const worker_view* next = detail::find_survivor(lives, *it, loss_grace());
       if (next == nullptr) continue;
-      note_survivor(*it, *next);
+      log_survivor(*it, *next);
       const auto& alive = book_.runs_on(it->id);
       propose_loss(*it, {alive.begin(), alive.end()}, loss_cause::restarted);
     }
@@ -229,21 +233,22 @@
     const auto& alive = book_.runs_on(it.id);
     const bool spoke = now - it.told < detail::dead_after;
     // Of one that runs nothing nothing is missed.
-    const time_point soon = alive.empty() ? now + detail::idle_review : now;
+    const time_point soon =
+        alive.empty() ? now + detail::idle_review_interval : now;
     watched.set(it, spoke ? it.told + detail::dead_after : soon);
-    if (spoke || it.left_at || losing_.contains(it.id)) continue;
-    const bool over = now >= it.over_at + patience();
+    if (spoke || it.left_at || proposed_losses_.contains(it.id)) continue;
+    const bool over = now >= it.over_at + loss_grace();
     loss_cause cause = loss_cause::lease;
-    if (now >= it.over_at + detail::forget_worker_after) {
+    if (now >= it.over_at + detail::silent_worker_retention) {
       cause = loss_cause::silent;
     }
     // One that this leader never heard may be about to call.
     const bool silent = it.known || now - led_since_ >= detail::dead_after;
     if (silent) {
       const worker_view* next =
-          detail::find_replacement(workers_, it, patience());
+          detail::find_replacement(workers_, it, loss_grace());
       if (next != nullptr) {
-        note_survivor(it, *next);
+        log_survivor(it, *next);
         cause = loss_cause::replaced;
       }
     }
@@ -262,13 +267,13 @@
 /// its task from the leave on.
 void fleet_controller::review_leaves() {
   const lease_settings& leases = workers_.leases();
-  const milliseconds wait = leases.answer_limit + leases.slack + patience();
+  const milliseconds wait = leases.answer_limit + leases.slack + loss_grace();
   workers_.marks().left.review([&](worker_view& it) {
     if (!it.left_at) return false;
-    if (losing_.contains(it.id)) return true;
+    if (proposed_losses_.contains(it.id)) return true;
     std::vector<run_key> lasting;
     for (const run_key& run : book_.runs_on(it.id)) {
-      if (is_lasting(run)) lasting.push_back(run);
+      if (is_long_running(run)) lasting.push_back(run);
     }
     if (!lasting.empty()) {
       propose_loss(it, lasting, loss_cause::left_serving);
@@ -286,10 +291,10 @@
 /// gets may be from before it led: until the worker is known to get its
 /// answers, how old they are is not known.
 void fleet_controller::review_unstarted(worker_view& it) {
-  if (!it.answered || losing_.contains(it.id)) return;
+  if (!it.answered || proposed_losses_.contains(it.id)) return;
   const milliseconds sure =
       workers_.leases().answer_limit + detail::order_margin;
-  const bool sends = takes_starts(it) && !is_overfull(it);
+  const bool sends = accepts_starts(it) && !is_overcommitted(it);
   std::vector<run_key> over;
   for (const run_key& run : book_.runs_on(it.id)) {
     if (it.rows.contains(run) || lists_end(it, run)) continue;
@@ -310,7 +315,7 @@
   const time_point now = clock_.now();
   workers_.marks().unsent.review([&](worker_view& it) {
     if (it.unsent.empty()) return false;
-    if (losing_.contains(it.id)) return true;
+    if (proposed_losses_.contains(it.id)) return true;
     const auto& runs = book_.runs_on(it.id);
     std::erase_if(it.unsent,
                   [&runs](const auto& p) { return !runs.contains(p.first); });
@@ -321,7 +326,7 @@
     if (over.empty()) return !it.unsent.empty();
     for (const run_key& run : over) it.unsent.erase(run);
     it.taken_back_at = now;
-    note_taken_back(it, over);
+    record_taken_back(it, over);
     propose_loss(it, over, loss_cause::unsent);
     return !it.unsent.empty();
   });
@@ -329,27 +334,28 @@
 
 /// A task that waits though it is placed again and again has no room that it
 /// lacks: only this tells why.
-void fleet_controller::note_taken_back(const worker_view& it,
-                                       const std::vector<run_key>& runs) {
+void fleet_controller::record_taken_back(const worker_view& it,
+                                         const std::vector<run_key>& runs) {
   metrics_.counter("kestrelreel_starts_taken_back_total") += runs.size();
   for (const run_key& run : runs) {
-    const unsigned times = ++in_vain_[run.task];
+    const unsigned times = ++placed_in_vain_[run.task];
     log_event(detail::service_name, log_level::info, "placed-in-vain")
         .with("task", to_text(run.task))
         .with("run", run.run.value())
         .with("worker", it.id.str())
         .with("times", times)
-        .with("lasting", is_lasting(run) ? "yes" : "no")
+        .with("lasting", is_long_running(run) ? "yes" : "no")
         .with("call-overdue-ms", (clock_.now() - it.call_due).count());
   }
 }
 
 void fleet_controller::review_all_unstarted() {
   const time_point now = clock_.now();
-  const auto pause = detail::unstarted_pause * workers_.views().size();
+  const auto pause =
+      detail::unstarted_review_per_worker * workers_.views().size();
   if (now - unstarted_reviewed_at_ < pause) return;
   unstarted_reviewed_at_ = now;
-  std::erase_if(in_vain_, [this](const auto& p) {
+  std::erase_if(placed_in_vain_, [this](const auto& p) {
     return book_.find(p.first.job) == nullptr ||
            !book_.find(p.first.job)->live();
   });
--- a/fleet/controller-submissions.cc
+++ b/fleet/controller-submissions.cc
@@ -14,17 +14,18 @@
 
 /// True for a job that came by this place, also when its queue is gone: its
 /// caller would take "no such queue" for a promise that it never runs.
-bool fleet_controller::holds(const fleet::job_call& call) const {
+bool fleet_controller::is_known_submission(const fleet::job_call& call) const {
   const job_entry* job = book_.find(job_number(call.job()));
   return job != nullptr && is_under(job->queue, call.host(), call.path());
 }
 
 /// A copy of a submission that is under way gets the answer of the first: what
 /// is said of one copy alone would be taken for the job's.
-bool fleet_controller::joins(job_number job, const respond_function& respond) {
-  const auto it = submitting_.find(job);
-  if (it == submitting_.end()) return false;
-  respond_function& waiting = waiting_.at(it->second);
+bool fleet_controller::join_pending_submission(
+    job_number job, const respond_function& respond) {
+  const auto it = pending_submissions_.find(job);
+  if (it == pending_submissions_.end()) return false;
+  respond_function& waiting = pending_responses_.at(it->second);
   waiting = [first = std::move(waiting),
              respond](const fleet::fleet_response& response) {
     first(response);
@@ -36,10 +37,10 @@
 void fleet_controller::commit_submission(fleet::fleet_command command,
                                          const respond_function& respond) {
   const job_number job(command.submit().job());
-  submitting_[job] =
+  pending_submissions_[job] =
       commit(std::move(command),
              [this, job, respond](const fleet::fleet_response& response) {
-               submitting_.erase(job);
+               pending_submissions_.erase(job);
                respond(response);
              });
 }
@@ -50,7 +51,7 @@
   if (book_.find(job_number(call.job())) != nullptr) {
     return respond(make_response(fleet::fleet_ok, "known-already"));
   }
-  if (joins(job_number(call.job()), respond)) return;
+  if (join_pending_submission(job_number(call.job()), respond)) return;
   const absl::Status sound = check_job(call.submit());
   if (!sound.ok()) {
     log_event(detail::service_name, log_level::warn, "job-invalid")
@@ -66,7 +67,7 @@
       for (const step_entry& it : steps) tasks += it.tasks.size() - it.done;
     }
   }
-  if (tasks > settings_.most_tasks) {
+  if (tasks > settings_.max_live_tasks) {
     log_event(detail::service_name, log_level::warn, "job-refused")
         .with("job", to_text(job_number(call.job())))
         .with("tasks-waiting", tasks);
--- a/fleet/controller-test-group.h
+++ b/fleet/controller-test-group.h
@@ -15,7 +15,7 @@
     return to_ref({job_number(job), 0, step, index});
   }
   /// One job with one task, running at worker `a`.
-  void run_one(uint64_t job = 7) {
+  void start_one_task(uint64_t job = 7) {
     world.configure();
     world.submit(job, {test_world::make_step(1)});
     world.beat("a");
--- a/fleet/controller-test.cc
+++ b/fleet/controller-test.cc
@@ -71,14 +71,14 @@
     LONGS_EQUAL(1, it.orders().starts(0).run());
     ++answers;
   });
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(0, answers);
   world.commit();
   LONGS_EQUAL(1, answers);
 }
 
 TEST(controller, end_is_noted_only_once_it_lasts) {
-  run_one();
+  start_one_task();
   world.end("a", task(7, 0, 0), 1, fleet::run_done);
   fleet::fleet_request request;
   *request.mutable_beat() = world.workers["a"];
@@ -87,7 +87,7 @@
   world.controller.request(request, [&](const fleet::fleet_response& it) {
     noted = it.orders().last_end();
   });
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(99, noted);
   world.commit();
   LONGS_EQUAL(1, noted);
@@ -95,7 +95,7 @@
 }
 
 TEST(controller, start_is_sent_again_until_the_worker_lists_it) {
-  run_one();
+  start_one_task();
   world.workers["a"].clear_running();
   const fleet::worker_orders again = world.beat("a");
   LONGS_EQUAL(1, again.starts_size());
@@ -104,7 +104,7 @@
 }
 
 TEST(controller, cancelled_job_is_stopped_and_never_started) {
-  run_one();
+  start_one_task();
   LONGS_EQUAL(fleet::fleet_ok, world.cancel(7).status());
   const fleet::worker_orders orders = world.beat("a");
   LONGS_EQUAL(1, orders.stops_size());
@@ -116,7 +116,7 @@
 }
 
 TEST(controller, cancelled_start_that_never_came_up_is_let_go) {
-  run_one();
+  start_one_task();
   world.workers["a"].clear_running();
   world.cancel(7);
   for (int i = 0; i < 10; ++i) {
@@ -182,7 +182,7 @@
 }
 
 TEST(controller, checkpoint_goes_to_the_next_run) {
-  run_one();
+  start_one_task();
   world.end("a", task(7, 0, 0), 1, fleet::run_stopped, "half");
   const fleet::worker_orders orders = world.beat("a");
   LONGS_EQUAL(1, orders.starts_size());
@@ -260,7 +260,7 @@
         test_world::make_submit(job, {test_world::make_step(1)}),
         [](const fleet::fleet_response&) {});
   }
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(1, world.log.proposed.size());
   LONGS_EQUAL(3, world.log.proposed.front().batch().commands_size());
 }
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -13,10 +13,10 @@
 
 constexpr const char* service_name = "controller";
 /// Jobs that are over are looked through this often.
-constexpr milliseconds forget_interval{1'000};
+constexpr milliseconds finished_jobs_review_interval{1'000};
 /// How long a worker that fails what it starts is avoided at first.
 constexpr milliseconds first_avoidance{2'000};
-constexpr unsigned most_doublings = 3;
+constexpr unsigned max_avoidance_doublings = 3;
 /// What every worker does many times a second is told at `debug` only: with 350
 /// workers that would be three quarters of all lines written, and rarer ones
 /// would be left out for it.
@@ -39,8 +39,8 @@
 
 }  // namespace detail
 
-void fleet_controller::take_beats(const fleet::beat_batch& batch,
-                                  const answer_function& answer) {
+void fleet_controller::take_heartbeats(const fleet::beat_batch& batch,
+                                       const answer_function& answer) {
   for (const fleet::worker_beat& it : batch.beats()) {
     const auto respond =
         [this, answer, worker = life_of(it).str(), n = it.sequence(),
@@ -61,21 +61,21 @@
       answer(std::move(out));
     };
     if (leads_ && log_.may_decide()) {
-      on_beat(it, respond, held);
+      on_heartbeat(it, respond, held);
     } else {
       respond(make_response(fleet::fleet_unavailable, "no-leader"));
     }
   }
 }
 
-void fleet_controller::on_beat(const fleet::worker_beat& beat,
-                               const respond_function& respond,
-                               const std::function<void()>& held) {
+void fleet_controller::on_heartbeat(const fleet::worker_beat& beat,
+                                    const respond_function& respond,
+                                    const std::function<void()>& held) {
   ++metrics_.counter("kestrelreel_heartbeats_total");
   const worker_id life = life_of(beat);
   const worker_view* before = workers_.find(life);
-  if (const char* fault = fault_of(beat)) {
-    return refuse_beat(beat, fault, respond);
+  if (const char* fault = find_fault(beat)) {
+    return reject_heartbeat(beat, fault, respond);
   }
   const bool untold = before == nullptr || !before->known;
   const bool over = before != nullptr && before->over;
@@ -84,11 +84,11 @@
         .with("worker", life.str())
         .with("sequence", beat.sequence())
         .with("ends", beat.ended_size());
-    take_ends_of_unsure(beat);
+    record_ends_only(beat);
     return respond(make_response(fleet::fleet_ok, "over"));
   }
   const auto [it, timely, wants_whole, misfit] = workers_.heard(beat);
-  if (misfit) return refuse_beat(beat, "misfit", respond);
+  if (misfit) return reject_heartbeat(beat, "misfit", respond);
   if (wants_whole) {
     const bool known = workers_.find(life) != nullptr;
     log_event(detail::service_name, detail::level_of(!known),
@@ -98,25 +98,25 @@
         .with("base", beat.base())
         .with("ends", beat.ended_size())
         .with("life", known ? "known" : "unknown");
-    take_ends_of_unsure(beat);
+    record_ends_only(beat);
     fleet::fleet_response response = make_response(fleet::fleet_ok, "unknown");
     response.set_wants_whole(true);
     return respond(std::move(response));
   }
   if (it == nullptr) {
-    note_overtaken(beat, *workers_.find(life));
+    log_overtaken(beat, *workers_.find(life));
     return respond(make_response(fleet::fleet_ok, "overtaken"));
   }
-  ++beats_;
+  ++heartbeats_since_tick_;
   ++load_.beats;
-  lag_.read(it->delay);
-  note_new_life(*it);
-  note_unrecorded(*it);
+  lag_.record_delay(it->delay);
+  log_new_incarnation(*it);
+  update_unrecorded_runs(*it);
   if (it->awaits_start) it->awaits_start = awaits_start(*it);
-  take_ends(*it, it->beat.ended(), timely);
+  record_ends(*it, it->beat.ended(), timely);
   // Nobody waits for the answer of a late one any more.
   if (!timely) {
-    ++late_beats_;
+    ++late_heartbeats_since_tick_;
     ++load_.late;
     ++metrics_.counter("kestrelreel_heartbeats_late_total");
     return respond(make_response(fleet::fleet_ok, "late"));
@@ -129,21 +129,21 @@
   it->asked = clock_.now();
   if (held && hold_call(*it)) return held();
   workers_.marks().calling.add(*it);
-  pace_if_due(*it);
-  unsettled_ = true;
+  update_paces_if_due(*it);
+  has_pending_decisions_ = true;
 }
 
-void fleet_controller::pace_if_due(worker_view& it) {
+void fleet_controller::update_paces_if_due(worker_view& it) {
   constexpr uint64_t ms_per_s = 1'000;
   const milliseconds every(static_cast<int64_t>(
-      workers_.views().size() * ms_per_s / settings_.paces_per_s));
+      workers_.views().size() * ms_per_s / settings_.max_pace_reviews_per_s));
   if (it.heard - it.paced_at < lag_.stretched(every)) return;
   it.paced_at = it.heard;
   scheduler_.pace(it);
 }
 
 /// A life that nobody told of may be new, or over and still on its way here.
-void fleet_controller::note_new_life(const worker_view& it) const {
+void fleet_controller::log_new_incarnation(const worker_view& it) const {
   if (it.first_told != it.told || it.over_at != time_point{}) return;
   log_event(detail::service_name, log_level::info, "life-appears")
       .with("worker", it.id.str())
@@ -155,26 +155,26 @@
 
 /// True for a worker that drains, and for one that nobody told of: what it
 /// lists now decides whether its tasks start again.
-bool fleet_controller::is_near_end(const worker_view& it) const {
+bool fleet_controller::is_starting_or_leaving(const worker_view& it) const {
   return it.leaves || it.beat.draining() || it.first_told == it.told;
 }
 
-void fleet_controller::take_ends(worker_view& it, const listed_ends& ends,
-                                 bool timely) {
+void fleet_controller::record_ends(worker_view& it, const listed_ends& ends,
+                                   bool timely) {
   const uint64_t known = std::max(book_.last_end(it.id), it.end_proposed);
   fleet::fleet_command command;
   fleet::worker_report& report = *command.mutable_report();
   report.set_worker(it.id.str());
   for (const fleet::run_end& end : ends) {
     if (end.number() <= known) continue;
-    if (!make_way(end)) break;
+    if (!recall_later_run(end)) break;
     *report.add_ends() = end;
     it.end_proposed = std::max(it.end_proposed, end.number());
-    note_end(it, end);
+    record_end(it, end);
   }
   if (report.ends_size() == 0) return;
-  note_refusals(it, report);
-  const bool rare = is_near_end(it) || !timely;
+  count_refusals(it, report);
+  const bool rare = is_starting_or_leaving(it) || !timely;
   log_event(detail::service_name, detail::level_of(rare), "ends-listed")
       .with("worker", it.id.str())
       .with("sequence", it.beat.sequence())
@@ -186,7 +186,7 @@
   add_command(std::move(command));
 }
 
-void fleet_controller::note_end(worker_view& it, const fleet::run_end& end) {
+void fleet_controller::record_end(worker_view& it, const fleet::run_end& end) {
   ++metrics_.counter("kestrelreel_run_ends_total",
                      {{"outcome", fleet::run_outcome_Name(end.outcome())}});
   if (end.outcome() == fleet::run_done) {
@@ -207,23 +207,24 @@
       it.failures >= settings_.scheduling.avoid_after && it.failed_jobs >= 2;
   if (!bad) return;
   it.failures = it.failed_jobs = 0;
-  avoid(it, "fails what it starts");
+  avoid_worker(it, "fails what it starts");
 }
 
 /// What one heartbeat refuses may not have fitted a room that has shrunk since.
-void fleet_controller::note_refusals(worker_view& it,
-                                     const fleet::worker_report& report) {
+void fleet_controller::count_refusals(worker_view& it,
+                                      const fleet::worker_report& report) {
   const auto& ends = report.ends();
   const bool refused = std::any_of(ends.begin(), ends.end(), [](auto& end) {
     return end.outcome() == fleet::run_refused;
   });
   if (!refused || ++it.refusals < settings_.scheduling.avoid_after) return;
   it.refusals = 0;
-  avoid(it, "refuses what it is given");
+  avoid_worker(it, "refuses what it is given");
 }
 
-void fleet_controller::avoid(worker_view& it, const char* cause) {
-  const unsigned doublings = std::min(it.avoided_times, detail::most_doublings);
+void fleet_controller::avoid_worker(worker_view& it, const char* cause) {
+  const unsigned doublings =
+      std::min(it.avoided_times, detail::max_avoidance_doublings);
   it.avoided_until = clock_.now() + detail::first_avoidance * (1U << doublings);
   ++it.avoided_times;
   log_event(detail::service_name, log_level::warn, "worker-avoided")
@@ -237,7 +238,7 @@
 /// again whose good end is on its way.
 void fleet_controller::on_leave(const std::string& name, uint64_t born,
                                 const respond_function& respond) {
-  const std::optional<worker_id> leaver = leaver_of(name, born);
+  const std::optional<worker_id> leaver = find_leaving_incarnation(name, born);
   if (!leaver || is_over(*leaver)) {
     log_event(detail::service_name, log_level::info, "leave-after-end")
         .with("worker", name)
@@ -269,7 +270,7 @@
 }
 
 /// Stops fill tasks that get nowhere where they are and would elsewhere.
-void fleet_controller::move_held() {
+void fleet_controller::move_starved_backfill() {
   std::erase_if(moving_, [&](const run_key& run) {
     const task_entry* task = book_.find(run.task);
     return task == nullptr || task->phase != task_phase::running ||
@@ -288,17 +289,17 @@
 
 /// A lasting task waits no longer than it must: room is kept for it, and less
 /// urgent work gives way.
-void fleet_controller::make_room() {
-  std::erase_if(yielding_, [&](const run_key& run) {
+void fleet_controller::reserve_capacity() {
+  std::erase_if(evicting_, [&](const run_key& run) {
     const task_entry* task = book_.find(run.task);
     return task == nullptr || task->phase != task_phase::running ||
            task->run != run.run;
   });
-  const fleet_scheduler::rooms_made made = scheduler_.keep_rooms(yielding_);
+  const fleet_scheduler::rooms_made made = scheduler_.keep_rooms(evicting_);
   metrics_.counter("kestrelreel_rooms_kept_total") += made.kept;
   metrics_.counter("kestrelreel_room_looks_total") += made.looks;
   for (const auto& [run, step] : made.evictions) {
-    yielding_.insert(run);
+    evicting_.insert(run);
     ++metrics_.counter("kestrelreel_evictions_total", {{"cause", "lasting"}});
     log_event(detail::service_name, log_level::info, "run-gives-way")
         .with("task", to_text(run.task))
@@ -308,7 +309,7 @@
   }
 }
 
-void fleet_controller::applied_starts(const fleet::run_starts& starts) {
+void fleet_controller::on_starts_applied(const fleet::run_starts& starts) {
   for (const fleet::run_start& it : starts.starts()) {
     worker_view* view = workers_.find(worker_id(it.worker()));
     if (view == nullptr) continue;
@@ -320,7 +321,7 @@
       workers_.marks().unsent.add(*view);
       workers_.marks().held_calls.remove(*view);
       workers_.marks().calling.add(*view);
-      recall_if_ended(run, view->id);
+      recall_start_if_done(run, view->id);
     }
     if (!counted || !book_.runs_on(view->id).contains(run)) {
       view->load_is_old = true;
@@ -334,30 +335,31 @@
       scheduler_.plan(settings_.wall_clock_ms(), lag_.stretch_percent());
   add_places(*command.mutable_starts());
   if (command.starts().starts_size() > 0) add_command(std::move(command));
-  if (scheduler_.cut_short()) unsettled_ = true;
+  if (scheduler_.cut_short()) has_pending_decisions_ = true;
 }
 
 /// Jobs that are over are known for a while, and as long as a run of theirs
 /// may be alive.
 void fleet_controller::forget_old_jobs() {
   const time_point now = clock_.now();
-  if (now - forgotten_at_ < detail::forget_interval) return;
-  forgotten_at_ = now;
+  if (now - jobs_reviewed_at_ < detail::finished_jobs_review_interval) return;
+  jobs_reviewed_at_ = now;
   std::set<job_number> due;
   for (const auto& [number, job] : book_.jobs()) {
     if (job.live()) continue;
-    const auto [seen, fresh] = over_since_.try_emplace(number, now);
+    const auto [seen, fresh] = finished_since_.try_emplace(number, now);
     if (fresh) {
       log_event(detail::service_name, log_level::info, "job-over")
           .with("job", to_text(number))
           .with("phase", fleet::job_phase_Name(job.phase));
     }
     const time_point since = seen->second;
-    if (now - since >= settings_.keep_jobs) due.insert(number);
+    if (now - since >= settings_.finished_job_retention) due.insert(number);
   }
   for (const job_number number : book_.cancelled_early()) {
-    const time_point since = over_since_.try_emplace(number, now).first->second;
-    if (now - since >= settings_.keep_jobs) due.insert(number);
+    const time_point since =
+        finished_since_.try_emplace(number, now).first->second;
+    if (now - since >= settings_.finished_job_retention) due.insert(number);
   }
   if (due.empty()) return;
   for (const auto& [worker, runs] : book_.runs()) {
@@ -367,13 +369,13 @@
   for (const job_number number : due) {
     command.mutable_forget()->add_jobs(number.value());
     scheduler_.forget(number);
-    over_since_.erase(number);
+    finished_since_.erase(number);
   }
   if (command.has_forget()) add_command(std::move(command));
 }
 
-void fleet_controller::settle() {
-  unsettled_ = false;
+void fleet_controller::decide() {
+  has_pending_decisions_ = false;
   if (!leads_) return;
   ++load_.turns;
   const bool decides = log_.may_decide();
@@ -381,7 +383,7 @@
     plan();
     record_all_orders();
   }
-  note_looks();
+  record_looks();
   flush();
   if (!decides) return;
   for (worker_view* it : due_answers()) answer(*it);
@@ -390,21 +392,21 @@
 void fleet_controller::tick() {
   if (!leads_) return;
   review_lag();
-  review_pace_of_reading();
+  review_read_delay();
   report_load();
   if (!log_.may_decide()) return;
-  if (!reads_on()) {
-    reviewed_ = true;
+  if (!defers_losses()) {
+    losses_reviewed_ = true;
     review_restarts();
     review_silence();
     review_leaves();
   }
-  search();
+  review_placement();
   review_all_unstarted();
   review_unsent();
   review_suspects();
   forget_old_jobs();
-  settle();
+  decide();
 }
 
 }  // namespace kestrelreel
--- a/fleet/controller.cc
+++ b/fleet/controller.cc
@@ -46,7 +46,7 @@
     case fleet::fleet_request::kJob:
       return on_job(request.job(), respond);
     case fleet::fleet_request::kBeat:
-      return on_beat(request.beat(), respond);
+      return on_heartbeat(request.beat(), respond);
     case fleet::fleet_request::kWorkerLeaves:
       return on_leave(request.worker_leaves(), request.leaver_born(), respond);
     case fleet::fleet_request::kPutConfig:
@@ -66,7 +66,7 @@
   if (book_.config().version() == 0) {
     return respond(make_response(fleet::fleet_unavailable, "no-configuration"));
   }
-  if (call.has_submit() && holds(call)) {
+  if (call.has_submit() && is_known_submission(call)) {
     return respond(make_response(fleet::fleet_ok, "known-already"));
   }
   const fleet::queue_route* queue =
@@ -176,14 +176,14 @@
                                   respond_function respond) {
   const uint64_t token = next_token_++;
   command.set_token(token);
-  waiting_[token] = std::move(respond);
+  pending_responses_[token] = std::move(respond);
   add_command(std::move(command));
   return token;
 }
 
 void fleet_controller::add_command(fleet::fleet_command command) {
   *batch_.add_commands() = std::move(command);
-  unsettled_ = true;
+  has_pending_decisions_ = true;
 }
 
 /// One entry for all that came up since the last call: an entry of its own for
@@ -198,16 +198,16 @@
   log_event(detail::service_name, log_level::warn, "commands-not-recorded")
       .with("commands", command.batch().commands_size())
       .with("error", status.message());
-  for (const auto& it : command.batch().commands()) refused(it, status);
+  for (const auto& it : command.batch().commands()) undo_proposal(it, status);
 }
 
 /// Takes back what the command's proposal had noted; it may come up again.
-void fleet_controller::refused(const fleet::fleet_command& command,
-                               const absl::Status& status) {
-  if (command.has_starts()) applied_starts(command.starts());
+void fleet_controller::undo_proposal(const fleet::fleet_command& command,
+                                     const absl::Status& status) {
+  if (command.has_starts()) on_starts_applied(command.starts());
   if (command.has_loss()) {
     const worker_id worker(command.loss().worker());
-    losing_.erase(worker);
+    proposed_losses_.erase(worker);
     if (worker_view* it = workers_.find(worker)) it->over = false;
   }
   if (command.has_leave()) {
@@ -220,46 +220,46 @@
     worker_view* it = workers_.find(worker);
     if (it != nullptr) it->end_proposed = book_.last_end(worker);
   }
-  const auto it = waiting_.find(command.token());
-  if (it == waiting_.end()) return;
+  const auto it = pending_responses_.find(command.token());
+  if (it == pending_responses_.end()) return;
   const respond_function late = std::move(it->second);
-  waiting_.erase(it);
+  pending_responses_.erase(it);
   late(make_response(fleet::fleet_unavailable, std::string(status.message())));
 }
 
 void fleet_controller::applied(const fleet::fleet_command& command) {
-  unsettled_ = true;
+  has_pending_decisions_ = true;
   if (!command.has_batch()) return apply_one(command);
   for (const auto& it : command.batch().commands()) apply_one(it);
 }
 
 void fleet_controller::apply_one(const fleet::fleet_command& command) {
   const job_book::result result = book_.apply(command);
-  if (command.has_starts()) applied_starts(command.starts());
-  if (command.has_report()) runs_changed(command.report().worker());
+  if (command.has_starts()) on_starts_applied(command.starts());
+  if (command.has_report()) mark_runs_changed(command.report().worker());
   if (command.has_loss()) {
-    runs_changed(command.loss().worker());
-    losing_.erase(worker_id(command.loss().worker()));
+    mark_runs_changed(command.loss().worker());
+    proposed_losses_.erase(worker_id(command.loss().worker()));
     if (command.loss().gone()) {
       forget_worker(command.loss().worker(), command.loss().over());
     }
   }
-  if (command.has_evacuation()) note_evacuation(command.evacuation());
-  if (command.has_leave() && leads_) note_left(command.leave().worker());
+  if (command.has_evacuation()) log_evacuation(command.evacuation());
+  if (command.has_leave() && leads_) mark_left(command.leave().worker());
   if (!leads_) return;
-  log_uncounted(command.report().worker(), result);
-  note_given_up(result);
-  const auto it = waiting_.find(command.token());
-  if (it == waiting_.end()) return;
+  log_uncounted_ends(command.report().worker(), result);
+  record_given_up_tasks(result);
+  const auto it = pending_responses_.find(command.token());
+  if (it == pending_responses_.end()) return;
   const respond_function respond = std::move(it->second);
-  waiting_.erase(it);
+  pending_responses_.erase(it);
   respond(make_response(result.status, result.reason));
 }
 
 /// An end that counts for nothing although it is acknowledged shows that its
 /// run was given up on too soon.
-void fleet_controller::log_uncounted(const std::string& worker,
-                                     const job_book::result& result) const {
+void fleet_controller::log_uncounted_ends(
+    const std::string& worker, const job_book::result& result) const {
   for (const job_book::uncounted_end& it : result.uncounted) {
     log_event(detail::service_name, log_level::warn, "end-not-counted")
         .with("task", to_text(it.run.task))
@@ -270,14 +270,14 @@
   }
 }
 
-void fleet_controller::runs_changed(const std::string& worker) {
+void fleet_controller::mark_runs_changed(const std::string& worker) {
   worker_view* it = workers_.find(worker_id(worker));
   if (it == nullptr) return;
   it->load_is_old = it->freed = true;
   workers_.marks().freed.add(*it);
 }
 
-void fleet_controller::note_left(const std::string& worker) {
+void fleet_controller::mark_left(const std::string& worker) {
   worker_view& it = workers_.expect(worker_id(worker));
   it.leaves = true;
   if (!it.left_at) it.left_at = clock_.now();
@@ -299,22 +299,22 @@
   const absl::Status status = book_.load(bytes);
   if (!status.ok()) return status;
   for (auto& [id, it] : workers_.views()) it.load_is_old = true;
-  unsettled_ = true;
+  has_pending_decisions_ = true;
   return status;
 }
 
-void fleet_controller::leads(bool now) {
+void fleet_controller::set_leading(bool now) {
   // Another box may have led between two terms of this one.
-  if (now && leads_ && log_.term() != led_term_) leads(false);
+  if (now && leads_ && log_.term() != led_term_) set_leading(false);
   if (now == leads_) return;
   leads_ = now;
   // What was never handed to the log cannot be committed.
   const absl::Status lost = absl::UnavailableError("leadership-lost");
   const fleet::command_batch batch = std::exchange(batch_, {});
-  for (const auto& it : batch.commands()) refused(it, lost);
+  for (const auto& it : batch.commands()) undo_proposal(it, lost);
   // What was asked of the log may be committed by the next leader or not.
   std::map<uint64_t, respond_function> waiting;
-  waiting.swap(waiting_);
+  waiting.swap(pending_responses_);
   if (!leads_) {
     log_event(detail::service_name, log_level::info, "leads-no-more")
         .with("told-not-taken", batch.commands_size())
@@ -330,29 +330,29 @@
     }
   }
   workers_.clear();
-  losing_.clear();
-  ended_well_.clear();
+  proposed_losses_.clear();
+  done_while_proposed_.clear();
   moving_.clear();
-  yielding_.clear();
+  evicting_.clear();
   crash_times_.clear();
-  sightings_.clear();
+  recorded_progress_.clear();
   if (!leads_) return;
   led_term_ = log_.term();
   // Tokens of an earlier leadership of this box must never match.
   next_token_ = led_term_.value() << 32U;
   for (const auto& [id, runs] : book_.runs()) workers_.expect(id);
   for (const auto& [id, end] : book_.workers()) workers_.expect(id);
-  learn_places();
+  load_recorded_places();
   // Counted anew: what the last leader had heard since may have been lost.
-  for (const worker_id& id : book_.left()) note_left(id.str());
+  for (const worker_id& id : book_.left()) mark_left(id.str());
   led_since_ = ticked_at_ = clock_.now();
-  beats_ = late_beats_ = 0;
-  behind_until_ = reads_on_until_ = {};
-  reviewed_ = true;
+  heartbeats_since_tick_ = late_heartbeats_since_tick_ = 0;
+  catching_up_until_ = losses_deferred_until_ = {};
+  losses_reviewed_ = true;
   lag_.reset();
   load_ = {};
   load_.since = led_since_;
-  unsettled_ = true;
+  has_pending_decisions_ = true;
   log_event(detail::service_name, log_level::info, "leads")
       .with("term", log_.term().value())
       .with("jobs-live", book_.live().size())
--- a/fleet/controller.h
+++ b/fleet/controller.h
@@ -44,40 +44,40 @@
   /// itself, without the hop of up to 10 ms over another box. At 5 calls a
   /// second each, 140 are as many as a leader of 0.32 cores was measured to
   /// take (700 a second).
-  std::string beat_address;
-  size_t direct_workers = 140;
+  std::string heartbeat_address;
+  size_t max_direct_workers = 140;
   /// How soon a worker calls again: while work waits or runs, and when idle.
-  milliseconds busy_beat{200};
-  milliseconds idle_beat{300};
+  milliseconds busy_heartbeat_interval{200};
+  milliseconds idle_heartbeat_interval{300};
   /// Heartbeats taken in a second over all control boxes; with more workers
   /// each calls less often, but for its ends, and idle ones half as often. The
   /// leader spends some 10 us on one, which keeps this below a tenth of a core.
-  uint64_t beats_per_s = 4'000;
-  uint64_t idle_beats_per_s = 2'000;
+  uint64_t max_heartbeats_per_s = 4'000;
+  uint64_t max_idle_heartbeats_per_s = 2'000;
   /// Where workers call seldom, an idle one's call is held for so long: work
   /// that comes meanwhile starts at once, not with its next call.
-  milliseconds call_hold{500};
+  milliseconds idle_call_hold{500};
   /// How often a second the leader looks at readings and sets paces, over all
   /// workers: a look takes 10 to 15 us. Readings are averages of half a second,
   /// so that little is lost while each worker's turn comes within that.
-  uint64_t paces_per_s = 2'500;
+  uint64_t max_pace_reviews_per_s = 2'500;
   /// Decisions that come up within this time are made together.
-  milliseconds settle_pause{15};
+  milliseconds decision_interval{15};
   /// The longest that an answer to a worker waits for the log.
-  milliseconds answer_wait{500};
+  milliseconds max_answer_wait{500};
   /// Workers answered in one turn, those that wait longest first: an answer
   /// takes a leader of 0.39 cores 0.1 to 0.4 ms, so that reading and the log
   /// wait for some 50 ms. Fewer, by the stretch, while it is behind: the
   /// answers of a turn go out together at its end.
-  size_t most_answers = 128;
+  size_t max_answers_per_turn = 128;
   /// The longest that a worker takes over a stop.
   milliseconds worker_stop{1'000};
   /// Data centres that may be evacuated, beside those that workers name.
   std::vector<std::string> data_centres;
   /// A job that is over is known for so long.
-  milliseconds keep_jobs{125'000};
+  milliseconds finished_job_retention{125'000};
   /// Tasks of live jobs that the memory of a small box has room for.
-  uint64_t most_tasks = 60'000;
+  uint64_t max_live_tasks = 60'000;
   /// When a refused caller may come back.
   milliseconds retry_after{1'000};
   /// The time of day in ms since 1970; only due times are read from it.
@@ -98,26 +98,26 @@
   /// Heartbeats that another box took in; each is answered once, under its
   /// sequence.
   using answer_function = std::function<void(fleet::beat_answer)>;
-  void take_beats(const fleet::beat_batch& batch,
-                  const answer_function& answer);
+  void take_heartbeats(const fleet::beat_batch& batch,
+                       const answer_function& answer);
   /// A committed command, in order; on every replica.
   void applied(const fleet::fleet_command& command);
   /// The state of a snapshot replaces all; on every replica.
   absl::Status installed(const std::string& bytes);
   /// Whether this box leads, as often as it is asked; nothing that it noted in
   /// an earlier term stands.
-  void leads(bool now);
+  void set_leading(bool now);
   /// Decides what the events since the last call allow.
-  void settle();
+  void decide();
   /// Every few tens of milliseconds.
   void tick();
   bool leading() const { return leads_; }
   /// True when `settle` has something to do.
-  bool unsettled() const { return unsettled_; }
+  bool has_pending_decisions() const { return has_pending_decisions_; }
   /// Decisions that come up within this time are to be made together.
-  milliseconds settle_pause() const {
-    return answers_left_ ? settings_.settle_pause
-                         : lag_.stretched(settings_.settle_pause);
+  milliseconds decision_interval() const {
+    return answers_deferred_ ? settings_.decision_interval
+                             : lag_.stretched(settings_.decision_interval);
   }
 
   const job_book& book() const { return book_; }
@@ -138,72 +138,75 @@
                  const respond_function& respond);
   void commit_submission(fleet::fleet_command command,
                          const respond_function& respond);
-  bool holds(const fleet::job_call& call) const;
-  bool joins(job_number job, const respond_function& respond);
+  bool is_known_submission(const fleet::job_call& call) const;
+  bool join_pending_submission(job_number job, const respond_function& respond);
   // Evacuations: controller-evacuations.cc.
   void on_evacuation(const fleet::evacuation_order& order,
                      const respond_function& respond);
   bool is_data_centre(const std::string& name) const;
-  void note_evacuation(const fleet::evacuation_order& order) const;
-  bool takes_starts(const worker_view& it) const;
-  bool is_overfull(worker_view& it);
+  void log_evacuation(const fleet::evacuation_order& order) const;
+  bool accepts_starts(const worker_view& it) const;
+  bool is_overcommitted(worker_view& it);
   bool guards_capacity(const std::string& pool) const;
-  void note_unrecorded(worker_view& it) const;
+  void update_unrecorded_runs(worker_view& it) const;
   uint64_t commit(fleet::fleet_command command, respond_function respond);
   // The log: what came up together is one entry.
   void add_command(fleet::fleet_command command);
   void flush();
-  void refused(const fleet::fleet_command& command, const absl::Status& status);
-  void runs_changed(const std::string& worker);
+  void undo_proposal(const fleet::fleet_command& command,
+                     const absl::Status& status);
+  void mark_runs_changed(const std::string& worker);
   void forget_worker(const std::string& worker, bool over);
-  void note_left(const std::string& worker);
+  void mark_left(const std::string& worker);
   void apply_one(const fleet::fleet_command& command);
-  void log_uncounted(const std::string& worker,
-                     const job_book::result& result) const;
+  void log_uncounted_ends(const std::string& worker,
+                          const job_book::result& result) const;
   uint64_t pending_of(const fleet::queue_route& queue) const;
 
   // Workers: controller-workers.cc.
   /// `held` is called if the answer is held back; never where it is empty.
-  void on_beat(const fleet::worker_beat& beat, const respond_function& respond,
-               const std::function<void()>& held = {});
+  void on_heartbeat(const fleet::worker_beat& beat,
+                    const respond_function& respond,
+                    const std::function<void()>& held = {});
   void on_leave(const std::string& name, uint64_t born,
                 const respond_function& respond);
   bool names_pool(const fleet::worker_beat& beat) const;
-  const char* fault_of(const fleet::worker_beat& beat);
-  void refuse_beat(const fleet::worker_beat& beat, const char* fault,
-                   const respond_function& respond);
-  std::optional<worker_id> leaver_of(const std::string& name, uint64_t born);
+  const char* find_fault(const fleet::worker_beat& beat);
+  void reject_heartbeat(const fleet::worker_beat& beat, const char* fault,
+                        const respond_function& respond);
+  std::optional<worker_id> find_leaving_incarnation(const std::string& name,
+                                                    uint64_t born);
   bool is_over(const worker_id& worker);
-  void note_overtaken(const fleet::worker_beat& beat, const worker_view& it);
-  void note_new_life(const worker_view& it) const;
-  bool is_near_end(const worker_view& it) const;
+  void log_overtaken(const fleet::worker_beat& beat, const worker_view& it);
+  void log_new_incarnation(const worker_view& it) const;
+  bool is_starting_or_leaving(const worker_view& it) const;
   using listed_ends = google::protobuf::RepeatedPtrField<fleet::run_end>;
-  void take_ends(worker_view& it, const listed_ends& ends, bool timely);
-  void note_end(worker_view& it, const fleet::run_end& end);
+  void record_ends(worker_view& it, const listed_ends& ends, bool timely);
+  void record_end(worker_view& it, const fleet::run_end& end);
   // Ends that come late or by a heartbeat that counts for nothing else:
   // controller-late-ends.cc.
-  void take_ends_of_unsure(const fleet::worker_beat& beat);
-  bool make_way(const fleet::run_end& end);
-  void recall(const run_key& run, const worker_id& worker);
-  void recall_if_ended(const run_key& run, const worker_id& worker);
-  void note_refusals(worker_view& it, const fleet::worker_report& report);
-  void avoid(worker_view& it, const char* cause);
-  void pace_if_due(worker_view& it);
-  void move_held();
-  void make_room();
+  void record_ends_only(const fleet::worker_beat& beat);
+  bool recall_later_run(const fleet::run_end& end);
+  void recall_start(const run_key& run, const worker_id& worker);
+  void recall_start_if_done(const run_key& run, const worker_id& worker);
+  void count_refusals(worker_view& it, const fleet::worker_report& report);
+  void avoid_worker(worker_view& it, const char* cause);
+  void update_paces_if_due(worker_view& it);
+  void move_starved_backfill();
+  void reserve_capacity();
   void plan();
   void forget_old_jobs();
-  void applied_starts(const fleet::run_starts& starts);
+  void on_starts_applied(const fleet::run_starts& starts);
 
   // Answers to workers: controller-orders.cc.
   std::vector<worker_view*> due_answers();
-  bool give_up_late(worker_view& it);
+  bool reject_late_call(worker_view& it);
   bool awaits_start(const worker_view& it) const;
   bool answer_is_due(const worker_view& it, bool recorded) const;
   void answer(worker_view& it);
-  milliseconds next_beat(const worker_view& it) const;
+  milliseconds heartbeat_interval(const worker_view& it) const;
   milliseconds interval_for(uint64_t calls_per_s) const;
-  bool holds_calls() const;
+  bool may_hold_calls() const;
   bool is_idle(const worker_view& it) const;
   bool hold_call(worker_view& it);
   fleet::worker_orders orders_for(worker_view& it);
@@ -214,18 +217,18 @@
   void add_paces(worker_view& it, fleet::worker_orders& orders);
   bool should_stop(const run_key& run) const;
   bool must_vacate(const worker_view& it) const;
-  void note_vacated(worker_view& it);
-  bool is_lasting(const run_key& run) const;
+  void record_vacated(worker_view& it);
+  bool is_long_running(const run_key& run) const;
   bool lists_end(const worker_view& it, const run_key& run) const;
 
   // How far it is behind: controller-lag.cc.
-  struct orders_behind {
+  struct order_backlog {
     uint64_t unsent = 0;
-    uint64_t unsent_lasting = 0;
+    uint64_t unsent_long_running = 0;
     uint64_t unlisted = 0;
   };
   /// What was done since the last line that told of it.
-  struct load_told {
+  struct load_counters {
     time_point since{};
     milliseconds longest_lag{0};
     uint64_t beats = 0;
@@ -235,10 +238,10 @@
     uint64_t looks = 0;
   };
   void review_lag();
-  void search();
-  void note_looks();
+  void review_placement();
+  void record_looks();
   void report_load();
-  orders_behind count_orders_behind() const;
+  order_backlog count_order_backlog() const;
 
   // What is given up on: controller-reviews.cc.
   enum class loss_cause {
@@ -256,8 +259,8 @@
   // Crashes of workers: controller-crashes.cc.
   static bool shows_crash(const worker_view& it, loss_cause cause);
   bool crashed_with_others(const worker_view& it) const;
-  void add_findings(const worker_view& it, const std::set<run_key>& runs,
-                    fleet::worker_loss& loss);
+  void add_crash_findings(const worker_view& it, const std::set<run_key>& runs,
+                          fleet::worker_loss& loss);
   std::optional<fleet::run_progress> progress_of(const run_key& run,
                                                  const worker_view& it) const;
   bool order_is_recorded(const run_key& run) const;
@@ -266,23 +269,24 @@
   void record_progress(const run_key& run, const worker_id& worker,
                        fleet::run_progress progress);
   void review_suspects();
-  void note_given_up(const job_book::result& result);
+  void record_given_up_tasks(const job_book::result& result);
   void add_places(fleet::run_starts& starts) const;
-  void learn_places();
+  void load_recorded_places();
   std::vector<run_key> unlisted_of(const worker_view& it,
                                    const std::vector<run_key>& runs) const;
   uint64_t failures_of(const std::vector<run_key>& runs) const;
   void review_leaves();
-  void note_survivor(const worker_view& it, const worker_view& next) const;
+  void log_survivor(const worker_view& it, const worker_view& next) const;
   void review_restarts();
-  void review_pace_of_reading();
-  bool reads_on() const;
-  milliseconds patience() const;
+  void review_read_delay();
+  bool defers_losses() const;
+  milliseconds loss_grace() const;
   void review_silence();
   void review_all_unstarted();
   void review_unstarted(worker_view& it);
   void review_unsent();
-  void note_taken_back(const worker_view& it, const std::vector<run_key>& runs);
+  void record_taken_back(const worker_view& it,
+                         const std::vector<run_key>& runs);
 
   controller_settings settings_;
   clock_source& clock_;
@@ -294,44 +298,44 @@
   bool leads_ = false;
   // Of its leadership, the present or the last one.
   term_number led_term_;
-  bool unsettled_ = false;
+  bool has_pending_decisions_ = false;
   uint64_t next_token_ = 1;
-  std::map<uint64_t, respond_function> waiting_;
+  std::map<uint64_t, respond_function> pending_responses_;
   // Tokens of the submissions among them.
-  std::map<job_number, uint64_t> submitting_;
+  std::map<job_number, uint64_t> pending_submissions_;
   // Not yet handed to the log.
   fleet::command_batch batch_;
   // Losses proposed and not yet applied, by worker.
-  std::map<worker_id, std::set<run_key>> losing_;
+  std::map<worker_id, std::set<run_key>> proposed_losses_;
   // Tasks of which a good end is listed while a start is proposed, since when.
-  std::map<task_key, time_point> ended_well_;
+  std::map<task_key, time_point> done_while_proposed_;
   // Runs that are being stopped so that their tasks run elsewhere.
   std::set<run_key> moving_;
   // Runs that are being stopped to make room for lasting tasks.
-  std::set<run_key> yielding_;
+  std::set<run_key> evicting_;
   // The last heartbeats of workers that crashed of late.
   std::deque<time_point> crash_times_;
   // How far runs of suspects came, as it was recorded.
-  std::map<run_key, fleet::run_progress> sightings_;
-  std::map<job_number, time_point> over_since_;
-  time_point forgotten_at_{};
+  std::map<run_key, fleet::run_progress> recorded_progress_;
+  std::map<job_number, time_point> finished_since_;
+  time_point jobs_reviewed_at_{};
   time_point led_since_{};
   // Heartbeats since the last tick, and how many of them were late.
-  uint64_t beats_ = 0;
-  uint64_t late_beats_ = 0;
+  uint64_t heartbeats_since_tick_ = 0;
+  uint64_t late_heartbeats_since_tick_ = 0;
   time_point ticked_at_{};
   time_point unstarted_reviewed_at_{};
-  time_point behind_until_{};
-  time_point reads_on_until_{};
+  time_point catching_up_until_{};
+  time_point losses_deferred_until_{};
   // Silence and leaves were reviewed since it last began to read on.
-  bool reviewed_ = true;
+  bool losses_reviewed_ = true;
   leader_lag lag_;
   // How often tasks were placed since a start of theirs was last sent.
-  std::map<task_key, unsigned> in_vain_;
+  std::map<task_key, unsigned> placed_in_vain_;
   // The last turn left workers to the next one.
-  bool answers_left_ = false;
-  time_point searched_at_{};
-  load_told load_;
+  bool answers_deferred_ = false;
+  time_point placement_reviewed_at_{};
+  load_counters load_;
 };
 
 /// A response with just a status and a reason.
--- a/fleet/crash-evidence.cc
+++ b/fleet/crash-evidence.cc
@@ -21,19 +21,20 @@
 }
 
 /// Evidence against each of the runs that may have crashed their worker.
-uint32_t weigh(const std::vector<run_key>& suspects, const job_book& book,
-               bool others_crashed) {
+uint32_t evidence_against(const std::vector<run_key>& suspects,
+                          const job_book& book, bool others_crashed) {
   const bool alone =
       std::all_of(suspects.begin(), suspects.end(), [&](const run_key& run) {
         return same_suspect(suspects.front(), run, book);
       });
-  if (!alone) return evidence_in_company;
-  return others_crashed ? evidence_as_only_one : evidence_as_only_cause;
+  if (!alone) return evidence_among_suspects;
+  return others_crashed ? evidence_sole_suspect_mass_crash
+                        : evidence_sole_suspect;
 }
 
 /// True for a run that its worker was ordered, by the record, and may have
 /// begun without living to list it.
-bool may_have_crashed(const run_key& run, const job_book& book) {
+bool may_have_begun_unlisted(const run_key& run, const job_book& book) {
   const crash_record crash = book.crash_of(run.task);
   return crash.crashes > 0 && crash.ordered >= run.run &&
          crash.listed < run.run;
@@ -41,23 +42,23 @@
 
 /// Of a worker that only an earlier leader heard it is known what was recorded
 /// of suspects. No other worker is known to have crashed with it or not.
-std::vector<crash_finding> examine_unheard(const std::set<run_key>& runs,
-                                           const job_book& book) {
+std::vector<crash_finding> examine_unknown_worker(const std::set<run_key>& runs,
+                                                  const job_book& book) {
   std::vector<run_key> suspects;
   for (const run_key& run : runs) {
-    if (may_have_crashed(run, book)) suspects.push_back(run);
+    if (may_have_begun_unlisted(run, book)) suspects.push_back(run);
   }
-  const uint32_t evidence = weigh(suspects, book, true);
+  const uint32_t evidence = evidence_against(suspects, book, true);
   std::vector<crash_finding> out;
   out.reserve(runs.size());
   for (const run_key& run : runs) {
     const crash_record crash = book.crash_of(run.task);
-    const bool says_little = crash.crashes == 0 || crash.listed >= run.run;
-    const bool ordered = may_have_crashed(run, book);
+    const bool is_weak = crash.crashes == 0 || crash.listed >= run.run;
+    const bool ordered = may_have_begun_unlisted(run, book);
     out.push_back({run,
-                   says_little ? evidence_once_listed
-                   : ordered   ? evidence
-                               : 0,
+                   is_weak   ? evidence_if_listed
+                   : ordered ? evidence
+                             : 0,
                    false});
   }
   return out;
@@ -71,37 +72,38 @@
   const auto sent = it.sent.find(run);
   const time_point since = sent == it.sent.end() ? it.first_told : sent->second;
   return it.told - since >=
-         (step.gang() ? harmless_gang_after : harmless_after);
+         (step.gang() ? harmless_gang_listed_time : harmless_listed_time);
 }
 
 std::vector<crash_finding> examine_crash(const worker_view& it,
                                          const std::set<run_key>& runs,
                                          const job_book& book,
                                          bool others_crashed) {
-  if (!it.known) return detail::examine_unheard(runs, book);
+  if (!it.known) return detail::examine_unknown_worker(runs, book);
   std::vector<crash_finding> out;
   std::vector<run_key> unlisted;
-  std::vector<run_key> young;
+  std::vector<run_key> just_listed;
   for (const run_key& run : runs) {
     const fleet::step_spec* step = book.find_step(run.task);
     if (step == nullptr || detail::lists_end(it, run)) continue;
     if (is_harmless(it, run, *step)) {
       out.push_back({run, 0, true});
     } else if (it.rows.contains(run)) {
-      young.push_back(run);
+      just_listed.push_back(run);
     } else if (it.sent.contains(run)) {
       unlisted.push_back(run);
     }
   }
   const bool listed = unlisted.empty();
   std::vector<run_key> suspects = unlisted;
-  for (const run_key& run : young) {
+  for (const run_key& run : just_listed) {
     if (listed || book.is_suspect(run.task)) suspects.push_back(run);
   }
-  const uint32_t evidence = detail::weigh(suspects, book, others_crashed);
+  const uint32_t evidence =
+      detail::evidence_against(suspects, book, others_crashed);
   for (const run_key& run : suspects) {
-    const bool says_little = listed && book.crash_of(run.task).crashes == 0;
-    out.push_back({run, says_little ? evidence_once_listed : evidence, false});
+    const bool is_weak = listed && book.crash_of(run.task).crashes == 0;
+    out.push_back({run, is_weak ? evidence_if_listed : evidence, false});
   }
   return out;
 }
--- a/fleet/crash-evidence.h
+++ b/fleet/crash-evidence.h
@@ -18,15 +18,15 @@
 /// `crash_evidence_limit`: two crashes are enough where each time nothing else
 /// had just started there and no other worker crashed, else three or four. One
 /// under a run that its worker listed, or may have, says little.
-constexpr uint32_t evidence_once_listed = 1;
-constexpr uint32_t evidence_in_company = 2;
-constexpr uint32_t evidence_as_only_one = 3;
-constexpr uint32_t evidence_as_only_cause = 4;
+constexpr uint32_t evidence_if_listed = 1;
+constexpr uint32_t evidence_among_suspects = 2;
+constexpr uint32_t evidence_sole_suspect_mass_crash = 3;
+constexpr uint32_t evidence_sole_suspect = 4;
 
 /// A worker that lists a run for so long was not crashed by its start; a gang
 /// works only once all its members are present.
-constexpr milliseconds harmless_after{400};
-constexpr milliseconds harmless_gang_after{5'000};
+constexpr milliseconds harmless_listed_time{400};
+constexpr milliseconds harmless_gang_listed_time{5'000};
 
 /// What the crash says of one run.
 struct crash_finding {
--- a/fleet/evacuation-test-world.h
+++ b/fleet/evacuation-test-world.h
@@ -11,7 +11,7 @@
 
 namespace kestrelreel {
 
-constexpr uint64_t late_job = 9;
+constexpr uint64_t tested_job = 9;
 
 /// Workers `n1`, `n2` in the data centre `north`, `s1`, `s2` in `south`; a
 /// worker has room for four tasks.
@@ -40,9 +40,9 @@
     return ask(make_order(data_centre, evacuate)).status();
   }
   void evacuate() { LONGS_EQUAL(fleet::fleet_ok, order("north", true)); }
-  void take_back() { LONGS_EQUAL(fleet::fleet_ok, order("north", false)); }
+  void end_evacuation() { LONGS_EQUAL(fleet::fleet_ok, order("north", false)); }
 
-  size_t running_at(char data_centre) const {
+  size_t runs_in(char data_centre) const {
     size_t n = 0;
     for (const auto& [name, it] : workers) {
       if (name[0] == data_centre) n += static_cast<size_t>(it.running_size());
@@ -50,7 +50,7 @@
     return n;
   }
   /// The last runs in force, each task once.
-  bool doubled() const {
+  bool has_duplicate_run() const {
     std::set<task_key> seen;
     for (const auto& [name, it] : workers) {
       for (const fleet::running_row& row : it.running()) {
@@ -69,12 +69,12 @@
   void elect() {
     commit();
     log.proposed.clear();
-    controller.leads(false);
+    controller.set_leading(false);
     ++log.leader_term;
-    controller.leads(true);
+    controller.set_leading(true);
   }
   /// Another replica leads, which was installed from a snapshot.
-  void install_elsewhere() {
+  void elect_from_snapshot() {
     const std::string bytes = controller.book().save();
     elect();
     CHECK_TRUE(controller.installed(bytes).ok());
@@ -83,7 +83,7 @@
 };
 
 /// A start on its way there when the order comes.
-enum class road {
+enum class start_stage {
   waiting,
   proposed,
   recorded,
@@ -94,20 +94,20 @@
   interrupted,
 };
 
-struct road_row {
+struct start_stage_row {
   const char* name;
-  road it;
+  start_stage it;
 };
 
-inline const road_row roads[] = {
-    {"waiting for room", road::waiting},
-    {"proposed, not yet recorded", road::proposed},
-    {"recorded, not yet sent", road::recorded},
-    {"sent in an answer that was lost", road::sent_and_lost},
-    {"a later step", road::later_step},
-    {"a job that comes later", road::later_job},
-    {"a time that is due later", road::due_later},
-    {"run again after its worker stopped it", road::interrupted},
+inline const start_stage_row start_stages[] = {
+    {"waiting for room", start_stage::waiting},
+    {"proposed, not yet recorded", start_stage::proposed},
+    {"recorded, not yet sent", start_stage::recorded},
+    {"sent in an answer that was lost", start_stage::sent_and_lost},
+    {"a later step", start_stage::later_step},
+    {"a job that comes later", start_stage::later_job},
+    {"a time that is due later", start_stage::due_later},
+    {"run again after its worker stopped it", start_stage::interrupted},
 };
 
 inline fleet::step_spec make_task(uint32_t count = 1) {
@@ -115,59 +115,60 @@
 }
 
 /// The job is recorded, and its start handed to the log.
-inline void propose_start(evacuation_world& world) {
-  const auto request = test_world::make_submit(late_job, {make_task()});
+inline void propose_tested_start(evacuation_world& world) {
+  const auto request = test_world::make_submit(tested_job, {make_task()});
   world.controller.request(request, [](const auto&) {});
-  world.controller.settle();
+  world.controller.decide();
   const fleet::fleet_command submit = world.log.proposed.front();
   world.log.proposed.pop_front();
   world.controller.applied(submit);
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(1, world.log.proposed.size());
   CHECK_TRUE(world.log.proposed.front().batch().commands(0).has_starts());
 }
 
-/// Brings the start of one task of `late_job` to where it stands on its road,
+/// Brings the start of one task of `tested_job` to where it stands on its road,
 /// with nothing but `n1` known.
-inline void set_out(evacuation_world& world, road it) {
-  if (it == road::waiting) world.submit(late_job, {make_task()});
+inline void bring_to_stage(evacuation_world& world, start_stage it) {
+  if (it == start_stage::waiting) world.submit(tested_job, {make_task()});
   world.call("n1");
   switch (it) {
-    case road::waiting:
+    case start_stage::waiting:
       // It found room at once: the answer that carried it is lost.
       world.workers["n1"].clear_running();
       return;
-    case road::proposed:
-      return propose_start(world);
-    case road::recorded:
-      world.submit(late_job, {make_task()});
+    case start_stage::proposed:
+      return propose_tested_start(world);
+    case start_stage::recorded:
+      world.submit(tested_job, {make_task()});
       return;
-    case road::sent_and_lost:
-      world.submit(late_job, {make_task()});
+    case start_stage::sent_and_lost:
+      world.submit(tested_job, {make_task()});
       world.beat("n1");
       return world.workers["n1"].clear_running();
-    case road::later_step: {
+    case start_stage::later_step: {
       fleet::step_spec second = make_task();
       second.add_depends_on(0);
-      world.submit(late_job, {make_task(), second});
+      world.submit(tested_job, {make_task(), second});
       return world.call("n1");
     }
-    case road::interrupted:
-      world.submit(late_job, {make_task()});
+    case start_stage::interrupted:
+      world.submit(tested_job, {make_task()});
       return world.call("n1");
-    case road::due_later:
-      return world.submit_due(milliseconds(1'000), 1, late_job, make_task());
-    case road::later_job:
+    case start_stage::due_later:
+      return world.submit_due(milliseconds(1'000), 1, tested_job, make_task());
+    case start_stage::later_job:
       return;
   }
 }
 
 /// What sets the start off, once the order is in force.
-inline void set_off(evacuation_world& world, road it) {
-  const fleet::task_ref first = to_ref({job_number(late_job), 0, 0, 0});
-  if (it == road::later_job) world.submit(late_job, {make_task()});
-  if (it == road::later_step) world.end("n1", first, 1, fleet::run_done);
-  if (it == road::interrupted) world.end("n1", first, 1, fleet::run_stopped);
+inline void trigger_start(evacuation_world& world, start_stage it) {
+  const fleet::task_ref first = to_ref({job_number(tested_job), 0, 0, 0});
+  if (it == start_stage::later_job) world.submit(tested_job, {make_task()});
+  if (it == start_stage::later_step) world.end("n1", first, 1, fleet::run_done);
+  if (it == start_stage::interrupted)
+    world.end("n1", first, 1, fleet::run_stopped);
 }
 
 }  // namespace kestrelreel
--- a/fleet/evacuation-test.cc
+++ b/fleet/evacuation-test.cc
@@ -9,22 +9,22 @@
 TEST_GROUP(evacuation) { evacuation_world world; };
 
 TEST(evacuation, no_start_goes_there_on_any_road) {
-  for (const road_row& it : roads) {
+  for (const start_stage_row& it : start_stages) {
     evacuation_world fresh;
-    set_out(fresh, it.it);
+    bring_to_stage(fresh, it.it);
     fresh.evacuate();
-    set_off(fresh, it.it);
+    trigger_start(fresh, it.it);
     for (int i = 0; i < 20; ++i) {
       fresh.pass(step_time);
       fresh.call_all('n');
     }
-    LONGS_EQUAL_TEXT(0, fresh.running_at('n'), it.name);
+    LONGS_EQUAL_TEXT(0, fresh.runs_in('n'), it.name);
     // The order's opposite is what it waits for, or room elsewhere.
     fresh.call_all('s');
     fresh.go(milliseconds(4'000));
-    LONGS_EQUAL_TEXT(0, fresh.running_at('n'), it.name);
-    LONGS_EQUAL_TEXT(1, fresh.running_at('s'), it.name);
-    CHECK_FALSE_TEXT(fresh.doubled(), it.name);
+    LONGS_EQUAL_TEXT(0, fresh.runs_in('n'), it.name);
+    LONGS_EQUAL_TEXT(1, fresh.runs_in('s'), it.name);
+    CHECK_FALSE_TEXT(fresh.has_duplicate_run(), it.name);
   }
 }
 
@@ -33,11 +33,11 @@
   world.submit(lasting_job, {make_lasting(4, 1'000)});
   world.call_all('n');
   world.go(milliseconds(1'000));
-  const size_t before = world.running_at('n');
+  const size_t before = world.runs_in('n');
   CHECK_TRUE(before > 0);
   world.evacuate();
   world.go(milliseconds(10'000));
-  LONGS_EQUAL(before, world.running_at('n'));
+  LONGS_EQUAL(before, world.runs_in('n'));
   LONGS_EQUAL(0, world.stops);
 }
 
@@ -74,12 +74,12 @@
   world.submit(short_job, {make_task(2)});
   world.go(milliseconds(0));
   world.call_all('n');
-  LONGS_EQUAL(0, world.running_at('n'));
-  world.take_back();
+  LONGS_EQUAL(0, world.runs_in('n'));
+  world.end_evacuation();
   world.pass(step_time);
   world.call_all('n');
   world.call_all('n');
-  LONGS_EQUAL(2, world.running_at('n'));
+  LONGS_EQUAL(2, world.runs_in('n'));
 }
 
 // Taken back, all of its workers are empty: slow ones get a task only when no
@@ -103,15 +103,15 @@
     fresh.workers["n2"].set_cold_left_ms(it.cold_ms);
     fresh.workers.erase("s2");
     fresh.workers.erase("n2");
-    fresh.controller.leads(false);
-    fresh.controller.leads(true);
+    fresh.controller.set_leading(false);
+    fresh.controller.set_leading(true);
     fresh.call_all('n');
     fresh.call_all('s');
-    fresh.take_back();
+    fresh.end_evacuation();
     fresh.submit(short_job, {make_task(it.tasks)});
     fresh.call_all('n');
     fresh.call_all('s');
-    LONGS_EQUAL_TEXT(it.at_cold, fresh.running_at('n'), it.name);
+    LONGS_EQUAL_TEXT(it.at_cold, fresh.runs_in('n'), it.name);
   }
 }
 
@@ -167,7 +167,7 @@
         evacuation_world::make_order("north", evacuate),
         [&](const auto& it) { answers.push_back(it.status()); });
   }
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(0, answers.size());
   world.commit();
   LONGS_EQUAL(3, answers.size());
@@ -189,8 +189,8 @@
   fleet::fleet_status status = fleet::fleet_ok;
   world.controller.request(evacuation_world::make_order("north", true),
                            [&](const auto& it) { status = it.status(); });
-  world.controller.settle();
-  world.controller.leads(false);
+  world.controller.decide();
+  world.controller.set_leading(false);
   LONGS_EQUAL(fleet::fleet_unknown, status);
 }
 
@@ -200,7 +200,7 @@
     fresh.call_all('n');
     fresh.evacuate();
     const uint64_t at = fresh.evacuated().in_force().at("north").ordered_at_ms;
-    snapshot ? fresh.install_elsewhere() : fresh.elect();
+    snapshot ? fresh.elect_from_snapshot() : fresh.elect();
     CHECK_TRUE(fresh.evacuated().holds("north"));
     LONGS_EQUAL(1, fresh.evacuated().version());
     LONGS_EQUAL(at, fresh.evacuated().in_force().at("north").ordered_at_ms);
@@ -209,10 +209,10 @@
       fresh.pass(step_time);
       fresh.call_all('n');
     }
-    LONGS_EQUAL(0, fresh.running_at('n'));
+    LONGS_EQUAL(0, fresh.runs_in('n'));
     fresh.call_all('s');
     fresh.call_all('s');
-    LONGS_EQUAL(2, fresh.running_at('s'));
+    LONGS_EQUAL(2, fresh.runs_in('s'));
   }
 }
 
@@ -221,7 +221,7 @@
 TEST(evacuation,
      start_recorded_before_the_order_is_not_sent_by_the_next_leader) {
   world.call("n1");
-  world.submit(late_job, {make_task()});
+  world.submit(tested_job, {make_task()});
   world.evacuate();
   world.elect();
   world.call_all('s');
@@ -230,8 +230,8 @@
     world.call_all('n');
     world.call_all('s');
   }
-  LONGS_EQUAL(0, world.running_at('n'));
-  LONGS_EQUAL(1, world.running_at('s'));
+  LONGS_EQUAL(0, world.runs_in('n'));
+  LONGS_EQUAL(1, world.runs_in('s'));
 }
 
 // A worker that leaves there is nothing special: its tasks start elsewhere.
@@ -240,7 +240,7 @@
   world.submit(lasting_job, {make_lasting(1, 1'000)});
   world.call("n1");
   world.call("n1");
-  LONGS_EQUAL(1, world.running_at('n'));
+  LONGS_EQUAL(1, world.runs_in('n'));
   world.evacuate();
   fleet::fleet_request request;
   request.set_worker_leaves("n1");
@@ -249,6 +249,6 @@
   world.call("n2");
   world.call_all('s');
   world.go(milliseconds(2'000));
-  LONGS_EQUAL(0, world.running_at('n'));
-  LONGS_EQUAL(1, world.running_at('s'));
+  LONGS_EQUAL(0, world.runs_in('n'));
+  LONGS_EQUAL(1, world.runs_in('s'));
 }
--- a/fleet/fleet-test-world.h
+++ b/fleet/fleet-test-world.h
@@ -44,7 +44,7 @@
  public:
   explicit test_world(controller_settings settings = make_settings())
       : controller(std::move(settings), clock, log, metrics) {
-    controller.leads(true);
+    controller.set_leading(true);
   }
 
   /// Commits all that is proposed, and decides, until nothing is left.
@@ -55,7 +55,7 @@
         log.proposed.pop_front();
         controller.applied(command);
       }
-      controller.settle();
+      controller.decide();
       if (log.proposed.empty()) return;
     }
   }
@@ -161,7 +161,7 @@
   static controller_settings make_settings() {
     controller_settings settings;
     settings.leases.hold = milliseconds(4'000);
-    settings.beat_address = "leader:1";
+    settings.heartbeat_address = "leader:1";
     settings.wall_clock_ms = [] { return uint64_t{1'000'000}; };
     return settings;
   }
--- a/fleet/held-call-test.cc
+++ b/fleet/held-call-test.cc
@@ -15,9 +15,9 @@
 /// Six workers call each 600 ms: as seldom as 6,000 at the usual rate and more.
 controller_settings seldom() {
   controller_settings settings = test_world::make_settings();
-  settings.beats_per_s = 10;
-  settings.idle_beats_per_s = 5;
-  settings.direct_workers = 0;
+  settings.max_heartbeats_per_s = 10;
+  settings.max_idle_heartbeats_per_s = 5;
+  settings.max_direct_workers = 0;
   return settings;
 }
 
@@ -39,7 +39,7 @@
     it.set_clock_ms(static_cast<uint64_t>(world.clock.now().count()));
     fleet::beat_batch batch;
     *batch.add_beats() = it;
-    world.controller.take_beats(batch, [this](fleet::beat_answer answer) {
+    world.controller.take_heartbeats(batch, [this](fleet::beat_answer answer) {
       answers.push_back(std::move(answer));
     });
     world.commit();
@@ -72,7 +72,7 @@
 TEST(held_call, worker_was_silent_before_its_next_call_was_due) {
   controller_settings settings = seldom();
   settings.leases.hold = longest_hold;
-  settings.idle_beats_per_s = 2;
+  settings.max_idle_heartbeats_per_s = 2;
   test_world slow(settings);
   slow.configure(1, 99);
   const auto call = [&] {
@@ -81,7 +81,7 @@
     it.set_clock_ms(static_cast<uint64_t>(slow.clock.now().count()));
     fleet::beat_batch batch;
     *batch.add_beats() = it;
-    slow.controller.take_beats(batch, [](const fleet::beat_answer&) {});
+    slow.controller.take_heartbeats(batch, [](const fleet::beat_answer&) {});
     slow.commit();
   };
   for (int i = 0; i < 6; ++i) slow.beat("w" + std::to_string(i));
--- a/fleet/innocent-crash-test.cc
+++ b/fleet/innocent-crash-test.cc
@@ -150,15 +150,15 @@
 };
 
 const weighing weighings[] = {
-    {"both just started", false, 0, false, 0, false, evidence_in_company,
-     evidence_in_company},
-    {"one just started", false, 0, true, 400, false, evidence_as_only_cause, 0},
+    {"both just started", false, 0, false, 0, false, evidence_among_suspects,
+     evidence_among_suspects},
+    {"one just started", false, 0, true, 400, false, evidence_sole_suspect, 0},
     {"one just started, others crash", false, 0, true, 400, true,
-     evidence_as_only_one, 0},
+     evidence_sole_suspect_mass_crash, 0},
     {"one just started, one listed once", false, 0, true, 200, false,
-     evidence_as_only_cause, 0},
-    {"both listed once", true, 200, true, 200, false, evidence_once_listed,
-     evidence_once_listed},
+     evidence_sole_suspect, 0},
+    {"both listed once", true, 200, true, 200, false, evidence_if_listed,
+     evidence_if_listed},
     {"both worked", true, 400, true, 5'000, false, 0, 0},
 };
 
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -119,17 +119,17 @@
         test_world::make_submit(job, {test_world::make_step(1, 5'000)}),
         [](const fleet::fleet_response&) {});
   }
-  bounded.controller.settle();
+  bounded.controller.decide();
   bounded.controller.applied(bounded.log.proposed.front());
-  bounded.controller.settle();
+  bounded.controller.decide();
   CHECK_TRUE(looks > 0);
   CHECK_TRUE(looks <= 1'200);
-  CHECK_TRUE(bounded.controller.unsettled());
+  CHECK_TRUE(bounded.controller.has_pending_decisions());
 }
 
 TEST(lagging_leader, one_turn_answers_a_bounded_number_of_workers) {
   const controller_settings settings;
-  const int n = static_cast<int>(settings.most_answers) + 20;
+  const int n = static_cast<int>(settings.max_answers_per_turn) + 20;
   int answered = 0;
   for (int i = 0; i < n; ++i) {
     fleet::fleet_request request;
@@ -141,10 +141,10 @@
     world.controller.request(request,
                              [&](const fleet::fleet_response&) { ++answered; });
   }
-  world.controller.settle();
-  LONGS_EQUAL(settings.most_answers, answered);
-  CHECK_TRUE(world.controller.unsettled());
-  world.controller.settle();
+  world.controller.decide();
+  LONGS_EQUAL(settings.max_answers_per_turn, answered);
+  CHECK_TRUE(world.controller.has_pending_decisions());
+  world.controller.decide();
   LONGS_EQUAL(n, answered);
 }
 
@@ -235,7 +235,7 @@
 
 TEST(lagging_leader, order_in_a_dropped_answer_lost_its_precedence) {
   controller_settings settings = test_world::make_settings();
-  settings.most_answers = 1;
+  settings.max_answers_per_turn = 1;
   test_world one(settings);
   one.configure(1, 99);
   for (const char* it : {"a", "b"}) one.beat(it);
@@ -255,16 +255,16 @@
   };
   const auto pass = [&] { one.clock.advance(milliseconds(100)); };
   call(other);
-  one.controller.settle();
+  one.controller.decide();
   pass();
   // The worker drops this answer, which orders the start.
   call(ordered);
-  one.controller.settle();
+  one.controller.decide();
   pass();
   answered.clear();
   call(other);
   call(ordered);
-  one.controller.settle();
+  one.controller.decide();
   LONGS_EQUAL(1, answered.size());
   STRCMP_EQUAL(ordered.c_str(), answered.front().c_str());
 }
--- a/fleet/late-copy-test.cc
+++ b/fleet/late-copy-test.cc
@@ -24,7 +24,7 @@
 
 controller_settings with_room_for(uint64_t tasks) {
   controller_settings it = test_world::make_settings();
-  it.most_tasks = tasks;
+  it.max_live_tasks = tasks;
   return it;
 }
 
@@ -83,9 +83,9 @@
     test_world world;
     world.configure();
     hand_in(world);
-    if (it.first_is_proposed) world.controller.settle();
+    if (it.first_is_proposed) world.controller.decide();
     hand_in(world);
-    if (it.leadership_lost) world.controller.leads(false);
+    if (it.leadership_lost) world.controller.set_leading(false);
     if (!it.leadership_lost) world.commit();
     holds(it.answers, it.name);
   }
@@ -95,7 +95,7 @@
   test_world world(with_room_for(3));
   world.configure();
   hand_in(world);
-  world.controller.settle();
+  world.controller.decide();
   // Another job uses up the room before the first is recorded.
   const auto first = world.log.proposed.front();
   world.log.proposed.clear();
@@ -112,7 +112,7 @@
   world.configure();
   world.log.refuses = true;
   hand_in(world);
-  world.controller.settle();
+  world.controller.decide();
   holds({fleet::fleet_unavailable}, "not recorded");
   world.log.refuses = false;
   LONGS_EQUAL(fleet::fleet_ok, world.ask(submission()).status());
@@ -137,9 +137,9 @@
       STRCMP_EQUAL(state.c_str(), world.controller.book().save().c_str());
     }
     if (it.new_leader) {
-      world.controller.leads(false);
+      world.controller.set_leading(false);
       world.log.leader_term = 2;
-      world.controller.leads(true);
+      world.controller.set_leading(true);
     }
     LONGS_EQUAL_TEXT(fleet::fleet_ok, world.ask(submission()).status(),
                      it.name);
@@ -174,9 +174,9 @@
   order.mutable_evacuation()->set_data_centre("z");
   order.mutable_evacuation()->set_evacuate(true);
   LONGS_EQUAL(fleet::fleet_ok, world.ask(order).status());
-  world.controller.leads(false);
+  world.controller.set_leading(false);
   world.log.leader_term = 2;
-  world.controller.leads(true);
+  world.controller.set_leading(true);
   LONGS_EQUAL(fleet::fleet_ok, world.ask(order).status());
   order.mutable_evacuation()->set_data_centre("nowhere");
   LONGS_EQUAL(fleet::fleet_invalid, world.ask(order).status());
--- a/fleet/late-end-test.cc
+++ b/fleet/late-end-test.cc
@@ -33,7 +33,7 @@
     fleet::fleet_request call;
     *call.mutable_beat() = world.next_heartbeat("b");
     world.controller.request(call, [](const fleet::fleet_response&) {});
-    world.controller.settle();
+    world.controller.decide();
     CHECK_TRUE(!world.log.proposed.empty());
     if (how == later_start::kept) {
       // The call that waits at b is given up, so that nothing is sent.
--- a/fleet/leader-lag-test.cc
+++ b/fleet/leader-lag-test.cc
@@ -9,12 +9,12 @@
 TEST_GROUP(leader_lag) {
   leader_lag lag;
 
-  void read(int n, milliseconds delay) {
-    for (int i = 0; i < n; ++i) lag.read(delay);
+  void record_delays(int n, milliseconds delay) {
+    for (int i = 0; i < n; ++i) lag.record_delay(delay);
   }
   void pass(int ticks, milliseconds delay) {
     for (int i = 0; i < ticks; ++i) {
-      read(10, delay);
+      record_delays(10, delay);
       lag.tick(milliseconds(0));
     }
   }
@@ -29,8 +29,8 @@
 
 TEST(leader_lag, few_held_up_heartbeats_are_not_the_leaders_lag) {
   for (int i = 0; i < 20; ++i) {
-    read(6, milliseconds(30));
-    read(4, milliseconds(3'000));
+    record_delays(6, milliseconds(30));
+    record_delays(4, milliseconds(3'000));
     lag.tick(milliseconds(0));
   }
   CHECK_FALSE(lag.behind());
--- a/fleet/leader-lag.cc
+++ b/fleet/leader-lag.cc
@@ -28,13 +28,13 @@
 void leader_lag::tick(milliseconds late) {
   lag_ = take_median() + std::max(milliseconds(0), late);
   unsigned next = stretch_percent_;
-  if (lag_ >= settings_.behind_from) {
-    next = next * detail::growth_percent / usual_percent;
-  } else if (lag_ < settings_.behind_from / 2) {
-    next = next * detail::decay_percent / usual_percent;
+  if (lag_ >= settings_.behind_threshold) {
+    next = next * detail::growth_percent / normal_percent;
+  } else if (lag_ < settings_.behind_threshold / 2) {
+    next = next * detail::decay_percent / normal_percent;
   }
   stretch_percent_ =
-      std::clamp(next, usual_percent, settings_.most_stretch_percent);
+      std::clamp(next, normal_percent, settings_.max_stretch_percent);
 }
 
 }  // namespace kestrelreel
--- a/fleet/not-taken-test.cc
+++ b/fleet/not-taken-test.cc
@@ -55,7 +55,7 @@
   world.configure();
 };
 const std::function<void(test_world&)> steps_down = [](test_world& world) {
-  world.controller.leads(false);
+  world.controller.set_leading(false);
 };
 
 /// Refused before anything was handed to the log.
@@ -63,7 +63,7 @@
     {"does not lead", fleet::fleet_unavailable, false,
      [](test_world& world) {
        world.configure();
-       world.controller.leads(false);
+       world.controller.set_leading(false);
      },
      as_it_is, nothing, nothing},
     {"may not decide", fleet::fleet_unavailable, false,
@@ -141,7 +141,7 @@
     status = it.status();
   });
   row.at_once(world);
-  world.controller.settle();
+  world.controller.decide();
   CHECK_EQUAL_TEXT(row.in_log, log_names_job(world), row.name);
   row.later(world);
   CHECK_TRUE_TEXT(status.has_value(), row.name);
@@ -152,14 +152,14 @@
   world.log.decides = true;
   world.log.refuses = false;
   for (int i = 0; i < 2; ++i) {
-    world.controller.settle();
+    world.controller.decide();
     CHECK_FALSE_TEXT(log_names_job(world), row.name);
     world.pass(milliseconds(1'000));
     CHECK_TRUE_TEXT(world.controller.book().find(job_number(job)) == nullptr,
                     row.name);
-    world.controller.leads(false);
+    world.controller.set_leading(false);
     ++world.log.leader_term;
-    world.controller.leads(true);
+    world.controller.set_leading(true);
   }
 }
 
@@ -180,7 +180,7 @@
   test_world world;
   world.configure();
   world.controller.request(submission(), [](const fleet::fleet_response&) {});
-  world.controller.settle();
+  world.controller.decide();
   CHECK_TRUE(log_names_job(world));
   world.commit();
   CHECK_TRUE(world.controller.book().find(job_number(job)) != nullptr);
@@ -195,10 +195,10 @@
     ++answers;
     LONGS_EQUAL(fleet::fleet_unknown, it.status());
   });
-  world.controller.settle();
-  world.controller.leads(false);
+  world.controller.decide();
+  world.controller.set_leading(false);
   ++world.log.leader_term;
-  world.controller.leads(true);
+  world.controller.set_leading(true);
   world.commit();
   CHECK_EQUAL(1, answers);
   CHECK_TRUE(world.controller.book().find(job_number(job)) != nullptr);
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -40,7 +40,7 @@
 
   void start() {
     controller_settings settings = test_world::make_settings();
-    settings.most_tasks = most_tasks;
+    settings.max_live_tasks = most_tasks;
     lease_ = std::make_unique<leader_lease>(lease_time);
     controller_ =
         std::make_unique<fleet_controller>(settings, clock_, *this, metrics_);
@@ -97,9 +97,9 @@
     run_disk();
     if (clock_.now() - ticked_at_ >= tick_interval) tick();
     if (clock_.now() - settled_at_ < settle_interval) return;
-    if (!controller_->unsettled()) return;
+    if (!controller_->has_pending_decisions()) return;
     settled_at_ = clock_.now();
-    controller_->settle();
+    controller_->decide();
   }
 
   bool may_decide() override {
@@ -177,7 +177,7 @@
   }
 
   void check_role() {
-    controller_->leads(replica_->state().leads_with_state());
+    controller_->set_leading(replica_->state().leads_with_state());
   }
 
   std::string name_;
--- a/fleet/restarted-worker-test.cc
+++ b/fleet/restarted-worker-test.cc
@@ -150,7 +150,7 @@
   fleet::fleet_response to_first;
   intake.take(beat, [&](fleet::fleet_response it) { to_first = it; });
   fleet::beat_answers answers;
-  all.leader().take_beats(intake.collect("0"), [&](fleet::beat_answer it) {
+  all.leader().take_heartbeats(intake.collect("0"), [&](fleet::beat_answer it) {
     *answers.add_answers() = std::move(it);
   });
   all.commit();
--- a/fleet/slow-test-world.h
+++ b/fleet/slow-test-world.h
@@ -152,17 +152,17 @@
   void run_box(int b) {
     box& it = boxes_[b];
     if (clock_.now() < it.stalled_until) return;
-    if (leader_ != b) it.controller->leads(false);
+    if (leader_ != b) it.controller->set_leading(false);
     while (it.applied < committed_.size()) {
       it.controller->applied(committed_[it.applied++]);
     }
-    if (leader_ == b) it.controller->leads(true);
+    if (leader_ == b) it.controller->set_leading(true);
     if (chance_.one_in(2)) it.controller->tick();
     read_departures(it);
     read(it);
     if (faults_.intakes) pass_on(b);
     if (ticks_++ % 5 == 0) it.controller->tick();
-    it.controller->settle();
+    it.controller->decide();
   }
 
   void read_departures(box& it) {
@@ -211,7 +211,7 @@
     box& it = boxes_[b];
     std::erase_if(it.batches, [&](const passed_batch& passed) {
       if (passed.arrives > clock_.now()) return false;
-      it.controller->take_beats(
+      it.controller->take_heartbeats(
           passed.batch, [this, from = passed.from](fleet::beat_answer answer) {
             boxes_[from].replies.push_back(
                 {clock_.now() + delay(), std::move(answer)});
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -10,14 +10,14 @@
 
 /// A task that has just started there would be a suspect beside it: above all
 /// but a task's data.
-constexpr double unproven_cost = 600'000;
+constexpr double unproven_task_cost = 600'000;
 /// What runs there would be lost with a crash: above any room that is left
 /// over.
-constexpr double company_cost = 20'000;
+constexpr double running_task_cost = 20'000;
 /// Of so many workers that may take a suspect one has little to lose.
-constexpr size_t enough_looks = 128;
+constexpr size_t max_suspect_looks = 128;
 /// How long a suspect waits after its lease to know how its worker ended.
-constexpr milliseconds fate_wait{1'500};
+constexpr milliseconds crash_detection_wait{1'500};
 
 }  // namespace detail
 
@@ -78,7 +78,7 @@
                                   const task_entry& task) const {
   const worker_view* it = workers_.find(task.worker);
   return it != nullptr && it->lapsed.contains({key, task.run}) &&
-         clock_.now() < it->over_at + detail::fate_wait;
+         clock_.now() < it->over_at + detail::crash_detection_wait;
 }
 
 /// True where a suspect is being tried, unless both are of one gang.
@@ -94,11 +94,11 @@
     std::optional<double> least) const {
   auto value = value_of(step, it);
   if (!value) return std::nullopt;
-  *value -= detail::company_cost * static_cast<double>(it.rows.size());
+  *value -= detail::running_task_cost * static_cast<double>(it.rows.size());
   // What runs there is looked at only where it may decide.
   if (least && *value <= *least) return std::nullopt;
   if (has_unproven(it) && it.tries != step.first) {
-    *value -= detail::unproven_cost;
+    *value -= detail::unproven_task_cost;
   }
   if (least && *value <= *least) return std::nullopt;
   return value;
@@ -112,7 +112,7 @@
   std::optional<size_t> best;
   std::optional<double> most;
   size_t looks = 0;
-  for (; looks < all.size() && (!best || looks < detail::enough_looks);
+  for (; looks < all.size() && (!best || looks < detail::max_suspect_looks);
        ++looks) {
     const size_t i = (suspect_looks_ + looks) % all.size();
     const auto value = value_for_suspect(step, *all[i], most);
--- a/fleet/worker-leave-test.cc
+++ b/fleet/worker-leave-test.cc
@@ -58,7 +58,7 @@
   void deliver() {
     for (int i = 0; i < 3 && intake->has_news(); ++i) {
       const fleet::beat_batch batch = intake->collect("leader");
-      controller.take_beats(batch, [this](const fleet::beat_answer& it) {
+      controller.take_heartbeats(batch, [this](const fleet::beat_answer& it) {
         fleet::beat_answers answers;
         *answers.add_answers() = it;
         intake->answered(answers);
@@ -75,7 +75,7 @@
   /// Another worker asks for work, and the leader plans.
   void plan() {
     starts_elsewhere += ask_b();
-    controller.settle();
+    controller.decide();
   }
   int ask_b() {
     const int n = workers.contains("b") ? workers["b"].running_size() : 0;
@@ -99,9 +99,9 @@
   void elect(bool lasts) {
     if (lasts) commit();
     log.proposed.clear();
-    controller.leads(false);
+    controller.set_leading(false);
     ++log.leader_term;
-    controller.leads(true);
+    controller.set_leading(true);
     intake->leader_changed();
   }
   /// Long enough for a lease to be over.
@@ -271,10 +271,10 @@
   world.commit();
   world.end("a", task, 1, fleet::run_done);
   const std::string saved = world.controller.book().save();
-  world.controller.leads(false);
+  world.controller.set_leading(false);
   CHECK_TRUE(world.controller.installed(saved).ok());
   ++world.log.leader_term;
-  world.controller.leads(true);
+  world.controller.set_leading(true);
   world.pass(milliseconds(500));
   CHECK_FALSE(world.controller.book().runs_on(worker_id("a")).empty());
   // The lease would be over after 4.2 s only.
@@ -302,7 +302,7 @@
 TEST(worker_leave, leave_that_was_not_recorded_gives_up_on_nothing) {
   world.log.refuses = true;
   world.leave();
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(fleet::fleet_unavailable, world.leave_status.at(0));
   world.log.refuses = false;
   world.pass(milliseconds(1'500));
--- a/fleet/worker-life-test.cc
+++ b/fleet/worker-life-test.cc
@@ -80,13 +80,13 @@
   controller_settings settings = test_world::make_settings();
   settings.leases.hold = longest_hold;
   fleet_controller controller(settings, clock, log, metrics);
-  controller.leads(true);
+  controller.set_leading(true);
   const auto commit = [&] {
-    controller.settle();
+    controller.decide();
     while (!log.proposed.empty()) {
       controller.applied(log.proposed.front());
       log.proposed.pop_front();
-      controller.settle();
+      controller.decide();
     }
   };
   fleet::fleet_request config;
@@ -147,7 +147,7 @@
     starts = r.orders().starts_size();
   });
   // The loss is not committed yet.
-  world.controller.settle();
+  world.controller.decide();
   LONGS_EQUAL(0, starts);
 }
 
@@ -210,7 +210,7 @@
   metrics_registry metrics;
   fleet_controller controller(test_world::make_settings(), clock, log, metrics);
   log.controller = &controller;
-  controller.leads(true);
+  controller.set_leading(true);
   fleet::fleet_request leave;
   leave.set_worker_leaves("a");
   fleet::fleet_request request;
@@ -225,12 +225,12 @@
     end.set_number(i);
     controller.request(request, count);
     controller.request(leave, count);
-    controller.settle();
+    controller.decide();
   }
-  controller.settle();
+  controller.decide();
   clock.advance(milliseconds(1'000));
-  controller.settle();
-  controller.settle();
+  controller.decide();
+  controller.decide();
   // Each call is answered, at the latest when its worker is forgotten.
   CHECK_TRUE(answers >= 7);
 }
--- a/support/emulator/emulation.cc
+++ b/support/emulator/emulation.cc
@@ -25,7 +25,7 @@
     : pattern_(pattern),
       random_(seed),
       controller_(make_settings(settings), clock_, log_, metrics_) {
-  controller_.leads(true);
+  controller_.set_leading(true);
   configure();
   add_workers();
   for (unsigned i = 0; i < pattern_.serving_jobs; ++i) submit_serving(i);
@@ -92,12 +92,12 @@
 }
 
 void emulation::commit() {
-  controller_.settle();
+  controller_.decide();
   while (!log_.proposed.empty()) {
     const fleet::fleet_command command = std::move(log_.proposed.front());
     log_.proposed.pop_front();
     controller_.applied(command);
-    if (log_.proposed.empty()) controller_.settle();
+    if (log_.proposed.empty()) controller_.decide();
   }
 }
 
