--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -28,11 +28,11 @@
 
 /// Only a new incarnation at the same place indicates a crash. A worker that is
 /// cut off, frozen or slow calls again under the same incarnation, and one that
-/// drains ends in order.
+/// drains ends without a crash.
 bool fleet_controller::shows_crash(const worker_view& it, loss_cause cause) {
-  const bool lives_on =
+  const bool has_successor =
       cause == loss_cause::replaced || cause == loss_cause::restarted;
-  return lives_on && !it.leaves && !it.beat.draining();
+  return has_successor && !it.leaves && !it.beat.draining();
 }
 
 bool fleet_controller::crashed_with_others(const worker_view& it) const {
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -77,11 +77,11 @@
       .with("told-ms-ago", (clock_.now() - it.told).count());
 }
 
-/// Finds the incarnation that a leave refers to, or none if that incarnation is
-/// over. A leave without a birth time refers to the draining incarnation. It
-/// does not end an incarnation that began after another one and does not drain:
-/// the leave may have been delayed, and the runs of that incarnation would be
-/// started twice.
+/// Finds the incarnation that a leave refers to, or none if the leave can only
+/// refer to one that is over. A leave without a birth time refers to the
+/// draining incarnation. It does not end an incarnation that began after
+/// another one and does not drain: the leave may have been delayed, and the
+/// runs of that incarnation would be started twice.
 std::optional<worker_id> fleet_controller::find_leaving_incarnation(
     const std::string& name, uint64_t born) {
   if (born > 0) return life_of(name, born);
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -286,8 +286,9 @@
 std::vector<run_key> fleet_controller::starts_for(worker_view& it) {
   // None of the runs may begin while some of them are being declared lost.
   if (!accepts_starts(it) || proposed_losses_.contains(it.id)) return {};
-  // An order in an answer that the worker drops occupies capacity until the
-  // worker's next heartbeat; an order that was never sent can be withdrawn.
+  // An order in an answer that the worker drops occupies capacity uselessly
+  // until the worker's next heartbeat; an order that was never sent can be
+  // withdrawn.
   if (lag_.behind() && !scheduler_.is_open(it)) return {};
   if (is_overcommitted(it)) return {};
   std::vector<run_key> out;
--- a/fleet/crash-evidence.cc
+++ b/fleet/crash-evidence.cc
@@ -23,11 +23,11 @@
 /// The evidence against each run that may have crashed the worker.
 uint32_t evidence_against(const std::vector<run_key>& suspects,
                           const job_book& book, bool others_crashed) {
-  const bool alone =
+  const bool sole_suspect =
       std::all_of(suspects.begin(), suspects.end(), [&](const run_key& run) {
         return same_suspect(suspects.front(), run, book);
       });
-  if (!alone) return evidence_among_suspects;
+  if (!sole_suspect) return evidence_among_suspects;
   return others_crashed ? evidence_sole_suspect_mass_crash
                         : evidence_sole_suspect;
 }
--- a/fleet/late-copy-test.cc
+++ b/fleet/late-copy-test.cc
@@ -3,8 +3,8 @@
 // is suspended. The leader answered each copy without regard to the others:
 // - a job in the book was answered "no such queue" once its queue was removed;
 // - a job whose first copy was in the log was refused because of the capacity
-// that the job itself took, or reported as not taken by a leader that stepped
-// down;
+//   that the job itself took, or reported as not taken by a leader that stepped
+//   down;
 // - a job that its caller had cancelled ran when a late copy arrived.
 #include <CppUTest/TestHarness.h>
 
