--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -105,8 +105,8 @@
     fleet::fleet_status status;
   };
   const row rows[] = {
-      {"not yet in the log", false, fleet::fleet_unavailable},
-      {"in the log", true, fleet::fleet_unknown},
+      {"not yet proposed", false, fleet::fleet_unavailable},
+      {"proposed", true, fleet::fleet_unknown},
   };
   for (const row& it : rows) {
     test_world fresh;
--- a/fleet/evacuation-test.cc
+++ b/fleet/evacuation-test.cc
@@ -127,14 +127,15 @@
     uint64_t version;
   };
   const row rows[] = {
-      {"taken back without need", "north", false, fleet::fleet_ok, false, 0},
+      {"ended without an evacuation", "north", false, fleet::fleet_ok, false,
+       0},
       {"first", "north", true, fleet::fleet_ok, true, 1},
-      {"again", "north", true, fleet::fleet_ok, true, 1},
+      {"repeated", "north", true, fleet::fleet_ok, true, 1},
       {"unknown", "west", true, fleet::fleet_invalid, true, 1},
-      {"none", "", true, fleet::fleet_invalid, true, 1},
-      {"taken back", "north", false, fleet::fleet_ok, false, 2},
-      {"taken back again", "north", false, fleet::fleet_ok, false, 2},
-      {"anew", "north", true, fleet::fleet_ok, true, 3},
+      {"unnamed", "", true, fleet::fleet_invalid, true, 1},
+      {"ended", "north", false, fleet::fleet_ok, false, 2},
+      {"ended again", "north", false, fleet::fleet_ok, false, 2},
+      {"evacuated again", "north", true, fleet::fleet_ok, true, 3},
   };
   for (const row& it : rows) {
     LONGS_EQUAL_TEXT(it.status, world.order(it.data_centre, it.evacuate),
--- a/fleet/late-copy-test.cc
+++ b/fleet/late-copy-test.cc
@@ -69,13 +69,13 @@
     std::vector<fleet::fleet_status> answers;
   };
   const row rows[] = {
-      {"both wait", false, false, {fleet::fleet_ok, fleet::fleet_ok}},
-      {"first in the log", true, false, {fleet::fleet_ok, fleet::fleet_ok}},
-      {"both wait, leadership lost",
+      {"neither proposed", false, false, {fleet::fleet_ok, fleet::fleet_ok}},
+      {"first proposed", true, false, {fleet::fleet_ok, fleet::fleet_ok}},
+      {"neither proposed, leadership lost",
        false,
        true,
        {fleet::fleet_unavailable, fleet::fleet_unavailable}},
-      {"first in the log, leadership lost",
+      {"first proposed, leadership lost",
        true,
        true,
        {fleet::fleet_unknown, fleet::fleet_unknown}},
--- a/fleet/not-taken-test.cc
+++ b/fleet/not-taken-test.cc
@@ -79,7 +79,7 @@
        it.mutable_job()->set_host("other.example");
      },
      nothing, nothing},
-    {"path of no job", fleet::fleet_no_queue, false, configured,
+    {"path without a job number", fleet::fleet_no_queue, false, configured,
      [](fleet::fleet_request& it) { it.mutable_job()->set_path("/plans/7"); },
      nothing, nothing},
     {"no steps", fleet::fleet_invalid, false, configured,
@@ -87,10 +87,10 @@
        it.mutable_job()->mutable_submit()->clear_steps();
      },
      nothing, nothing},
-    {"asks for nothing", fleet::fleet_invalid, false, configured,
+    {"empty call", fleet::fleet_invalid, false, configured,
      [](fleet::fleet_request& it) { it.mutable_job()->clear_submit(); },
      nothing, nothing},
-    {"too much waits", fleet::fleet_refused, false,
+    {"too many live tasks", fleet::fleet_refused, false,
      [](test_world& world) {
        world.configure();
        for (uint64_t i = 1; i <= jobs_until_overload; ++i) {
@@ -105,21 +105,21 @@
 
 /// Accepted from the caller, and then rejected by the log or not committed.
 const refusal_row later_refusals[] = {
-    {"the log takes nothing", fleet::fleet_unavailable, false,
+    {"the log refuses proposals", fleet::fleet_unavailable, false,
      [](test_world& world) {
        world.configure();
        world.log.refuses = true;
      },
      unchanged, nothing, nothing},
-    {"steps down before the log has it", fleet::fleet_unavailable, false,
+    {"steps down before the proposal", fleet::fleet_unavailable, false,
      configured, unchanged, steps_down, nothing},
-    {"steps down when the log has it", fleet::fleet_unknown, true, configured,
+    {"steps down after the proposal", fleet::fleet_unknown, true, configured,
      unchanged, nothing, steps_down},
     {"may not decide any more, steps down", fleet::fleet_unknown, true,
      configured, unchanged,
      [](test_world& world) { world.log.decides = false; }, steps_down},
-    {"the queue goes before it lasts", fleet::fleet_no_queue, true, configured,
-     unchanged,
+    {"the queue is removed before the commit", fleet::fleet_no_queue, true,
+     configured, unchanged,
      [](test_world& world) {
        fleet::fleet_command command;
        *command.mutable_config() = test_world::make_config(2);
