--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -44,9 +44,10 @@
     return true;
   const auto& views = workers_.views();
   return std::any_of(views.begin(), views.end(), [&](const auto& entry) {
-    const worker_view& o = entry.second;
-    return o.id != it.id && o.known && is_shared(o.told) &&
-           now - std::max(o.told, o.call_due) >= detail::maybe_crashed_after;
+    const worker_view& other = entry.second;
+    return other.id != it.id && other.known && is_shared(other.told) &&
+           now - std::max(other.told, other.call_due) >=
+               detail::maybe_crashed_after;
   });
 }
 
@@ -137,9 +138,8 @@
   add_command(std::move(command));
 }
 
-/// The next leader needs the progress of each suspect: otherwise it takes any
-/// end of the suspect's worker for another crash caused by the task, or for
-/// none.
+/// The next leader needs the progress of each suspect: otherwise it blames the
+/// task either for every later end of its worker or for none.
 void fleet_controller::review_suspects() {
   std::erase_if(recorded_progress_, [&](const auto& p) {
     return !book_.suspects().contains(p.first.task);
--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -133,8 +133,8 @@
 
 TEST(controller_leases, many_workers_call_less_often) {
   world.configure();
-  const uint64_t few = world.beat("w0").next_beat_ms();
-  LONGS_EQUAL(300, few);
+  const uint64_t interval_of_few = world.beat("w0").next_beat_ms();
+  LONGS_EQUAL(300, interval_of_few);
   for (int i = 1; i < 4'000; ++i) world.beat("w" + std::to_string(i));
   LONGS_EQUAL(1'000, world.beat("w0").next_beat_ms());
 }
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -57,9 +57,10 @@
   respond(make_response(fleet::fleet_invalid, fault));
 }
 
-/// Overtaken heartbeats are common. One whose clock does not match its sequence
-/// number is not merely overtaken: if every heartbeat of a worker is dropped as
-/// overtaken, the worker gets no orders and is declared lost while alive.
+/// Overtaken heartbeats are common and logged at `debug`. A heartbeat whose
+/// clock does not match its sequence number is not merely overtaken and is
+/// logged at `info`: if every heartbeat of a worker is dropped as overtaken,
+/// the worker gets no orders and is declared lost while alive.
 void fleet_controller::log_overtaken(const fleet::worker_beat& beat,
                                      const worker_view& it) {
   ++metrics_.counter("kestrelreel_heartbeats_overtaken_total");
@@ -79,9 +80,9 @@
 
 /// Finds the incarnation that a leave refers to, or none if the leave can only
 /// refer to one that is over. A leave without a birth time refers to the
-/// draining incarnation. It does not end an incarnation that began after
-/// another one and does not drain: the leave may have been delayed, and the
-/// runs of that incarnation would be started twice.
+/// draining incarnation. Such a leave does not end an incarnation that began
+/// after another one and does not drain: the leave may have been delayed, and
+/// the runs of that incarnation would be started twice.
 std::optional<worker_id> fleet_controller::find_leaving_incarnation(
     const std::string& name, uint64_t born) {
   if (born > 0) return life_of(name, born);
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -41,20 +41,20 @@
 /// Interval between reviews for runs that never began, per worker: reviewing
 /// one worker's runs takes 2 us.
 constexpr std::chrono::microseconds unstarted_review_per_worker{400};
-/// True when `o` proves that the incarnation `it` at the same place is over. A
-/// heartbeat of an earlier incarnation may arrive after the next one began,
-/// after a network cut even several, seconds apart. `o` must therefore have got
-/// answers, and must have called for a minimum time by the leader's clock and
-/// by its own clock, and since `it` fell silent.
-bool has_outlived(const worker_view& o, const worker_view& it,
+/// True when `newer` proves that the incarnation `it` at the same place is
+/// over. A heartbeat of an earlier incarnation may arrive after the next one
+/// began, after a network cut even several, seconds apart. `newer` must
+/// therefore have got answers, and must have called for a minimum time by the
+/// leader's clock and by its own clock, and since `it` fell silent.
+bool has_outlived(const worker_view& newer, const worker_view& it,
                   milliseconds loss_grace) {
   const milliseconds min_time = sure_life + loss_grace;
-  const milliseconds own_clock(
-      static_cast<int64_t>(o.beat.clock_ms() - o.first_clock_ms));
-  return o.answered && o.id != it.id && o.told > it.told &&
-         o.first_told > it.first_told &&
-         o.told - std::max(o.first_told, it.told) >= min_time &&
-         own_clock >= min_time;
+  const milliseconds worker_elapsed(
+      static_cast<int64_t>(newer.beat.clock_ms() - newer.first_clock_ms));
+  return newer.answered && newer.id != it.id && newer.told > it.told &&
+         newer.first_told > it.first_told &&
+         newer.told - std::max(newer.first_told, it.told) >= min_time &&
+         worker_elapsed >= min_time;
 }
 
 /// Returns the first worker that has outlived `it`, or null.
@@ -266,7 +266,7 @@
   }
 }
 
-/// Declares the runs of workers that left lost. A worker drops answers after
+/// Declares runs lost whose workers have left. A worker drops answers after
 /// `answer_limit`, so that a heartbeat sent before the leave arrives within
 /// that time or is ignored. A worker that calls after its leave is not gone
 /// yet. Runs of long-running tasks are declared lost at once: their users are
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -48,8 +48,8 @@
           fleet::beat_answer out;
           out.set_worker(worker);
           out.set_sequence(n);
-          const milliseconds passed = clock_.now() - taken_in;
-          out.set_leader_ms(static_cast<uint64_t>(passed.count()));
+          const milliseconds elapsed = clock_.now() - taken_in;
+          out.set_leader_ms(static_cast<uint64_t>(elapsed.count()));
           *out.mutable_response() = std::move(response);
           answer(std::move(out));
         };
@@ -236,8 +236,8 @@
 }
 
 /// A leave only stops new work for the worker. The worker's last heartbeat may
-/// arrive later, by a slower path: declaring the runs lost now would start
-/// tasks again whose reported end is on its way.
+/// arrive later, by a slower path: declaring the runs lost now would restart
+/// tasks that are done and whose end is still on its way to the leader.
 void fleet_controller::on_leave(const std::string& name, uint64_t born,
                                 const respond_function& respond) {
   const std::optional<worker_id> leaver = find_leaving_incarnation(name, born);
--- a/fleet/controller.h
+++ b/fleet/controller.h
@@ -50,10 +50,10 @@
   /// The heartbeat interval while tasks wait or run, and when idle.
   milliseconds busy_heartbeat_interval{200};
   milliseconds idle_heartbeat_interval{300};
-  /// The heartbeat rate over all control boxes. With more workers, each calls
-  /// less often, except to report ended runs; idle workers use half the rate.
-  /// The leader spends about 10 us on a heartbeat, so that this rate stays
-  /// below a tenth of a core.
+  /// The highest heartbeat rate over all control boxes. With more workers, each
+  /// calls less often, except to report ended runs; idle workers use half the
+  /// rate. The leader spends about 10 us on a heartbeat, so that this rate
+  /// stays below a tenth of a core.
   uint64_t max_heartbeats_per_s = 4'000;
   uint64_t max_idle_heartbeats_per_s = 2'000;
   /// How long an idle worker's call is held open while heartbeats are
@@ -68,11 +68,11 @@
   milliseconds decision_interval{15};
   /// The longest time an answer to a worker waits for the log to commit.
   milliseconds max_answer_wait{500};
-  /// Workers answered in one turn, those whose leases end first. An answer
-  /// takes a leader with 0.39 cores 0.1 to 0.4 ms, so that a turn delays
-  /// reading and the log by about 50 ms. A lagging leader answers fewer, in
-  /// inverse proportion to the stretch: the answers of a turn are sent together
-  /// at its end.
+  /// Maximum number of workers answered in one turn, those whose leases end
+  /// first. An answer takes a leader with 0.39 cores 0.1 to 0.4 ms, so that a
+  /// turn delays reading and the log by about 50 ms. A lagging leader answers
+  /// fewer, in inverse proportion to the stretch: the answers of a turn are
+  /// sent together at its end.
   size_t max_answers_per_turn = 128;
   /// The longest time a worker takes to stop a run.
   milliseconds worker_stop{1'000};
@@ -81,7 +81,8 @@
   std::vector<std::string> data_centres;
   /// How long a finished job stays in the book.
   milliseconds finished_job_retention{125'000};
-  /// Tasks of live jobs that fit into the memory of a small box.
+  /// Maximum number of tasks of live jobs, which fit into the memory of a small
+  /// box.
   uint64_t max_live_tasks = 60'000;
   /// The retry delay returned to a refused caller.
   milliseconds retry_after{1'000};
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -78,12 +78,12 @@
 TEST(lagging_leader, withdrawn_starts_are_counted) {
   add_workers(1);
   world.submit(7, {test_world::make_step(3)});
-  uint64_t& taken_back =
+  uint64_t& withdrawn =
       world.metrics.counter("kestrelreel_starts_taken_back_total");
   world.pass(milliseconds(700));
-  LONGS_EQUAL(0, taken_back);
+  LONGS_EQUAL(0, withdrawn);
   world.pass(milliseconds(200));
-  LONGS_EQUAL(3, taken_back);
+  LONGS_EQUAL(3, withdrawn);
 }
 
 TEST(lagging_leader, steps_without_capacity_have_a_bounded_cost) {
--- a/fleet/leader-lag.cc
+++ b/fleet/leader-lag.cc
@@ -14,8 +14,9 @@
 
 }  // namespace detail
 
-/// The median ignores the heartbeats of a few workers that a network cut
-/// delayed, whatever the leader does.
+/// Returns the median heartbeat delay since the last tick. Unlike the mean, the
+/// median ignores the few workers whose heartbeats a network cut delays, which
+/// the leader can't influence.
 milliseconds leader_lag::take_median() {
   if (delays_.empty()) return milliseconds(0);
   const auto middle =
--- a/fleet/log-command-test.cc
+++ b/fleet/log-command-test.cc
@@ -15,8 +15,8 @@
   return command.SerializeAsString();
 }
 
-/// A batch with a cancel and, unless `known`, a command that only a later
-/// version knows.
+/// A batch with a cancel and, unless `known`, a command without a kind, as this
+/// version reads one whose kind a later version adds.
 std::string make_batch(bool known) {
   fleet::fleet_command command;
   command.mutable_batch()->add_commands()->mutable_cancel()->add_jobs(7);
@@ -47,7 +47,7 @@
 const row rows[] = {
     {"a command", proto::entry_command, cancel, outcome::decoded},
     {"a batch", proto::entry_command, make_batch(true), outcome::decoded},
-    {"a command with a member of a later version", proto::entry_command,
+    {"a command with a field of a later version", proto::entry_command,
      cancel + make_field(later_field), outcome::decoded},
     {"a leader's first entry", proto::entry_noop, "", outcome::skipped},
     {"a membership change", proto::entry_membership, "x", outcome::skipped},
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -83,7 +83,8 @@
          clock_.now() < it->over_at + detail::crash_detection_wait;
 }
 
-/// True where a suspect is being tried, unless both tasks are of one gang.
+/// True when another suspect is being tried on the worker, unless both tasks
+/// belong to one gang.
 bool fleet_scheduler::is_trying(const worker_view& it,
                                 const step_to_place& step) {
   return it.tries && !(step.spec.gang() && *it.tries == step.first);
