--- a/fleet/leader-lag.h
+++ b/fleet/leader-lag.h
@@ -15,8 +15,8 @@
   /// leaves 850 ms for the deferral to take effect.
   milliseconds behind_threshold{150};
   /// Upper bound of the stretch: workers that call every 200 ms then call every
-  /// 800 ms, the shortest time that proves an incarnation alive (`sure_life`)
-  /// and about an eighth of a lease.
+  /// 800 ms, which is the shortest time that proves an incarnation alive
+  /// (`sure_life`) and less than an eighth of the longest lease.
   unsigned max_stretch_percent = 400;
 };
 
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -15,7 +15,8 @@
 /// Cost per running task that a crash would end. Exceeds any gain from a better
 /// fit.
 constexpr double running_task_cost = 20'000;
-/// Among this many candidate workers there is one with little to lose.
+/// How many workers are examined for a suspect: among this many candidates
+/// there is one whose crash would end few runs.
 constexpr size_t max_suspect_looks = 128;
 /// How long after its lease a suspect waits to learn whether its worker
 /// crashed.
