--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -1,5 +1,5 @@
-// Leases of workers and of the leader: who may be given a start, and until
-// when.
+// Leases of workers and of the leader: which worker may be sent a start, and
+// until when.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/controller-test-group.h"
@@ -9,14 +9,14 @@
 TEST_GROUP_BASE(controller_leases, controller_test){};
 
 TEST(controller_leases, without_the_lease_nothing_is_decided) {
-  run_one();
+  start_one_task();
   world.log.decides = false;
   LONGS_EQUAL(fleet::fleet_unavailable, world.state(7).status());
   LONGS_EQUAL(0, world.beat("a").hold_ms());
 }
 
 TEST(controller_leases, silent_worker_keeps_its_task_until_its_lease_is_over) {
-  run_one();
+  start_one_task();
   const milliseconds over = world.controller.workers().leases().over_after();
   world.beat("b");
   for (milliseconds at{0}; at < over - milliseconds(300);
@@ -30,14 +30,14 @@
   LONGS_EQUAL(2, orders.starts(0).run());
 }
 
-TEST(controller_leases, new_leader_waits_out_the_leases_of_the_last) {
-  run_one();
+TEST(controller_leases, new_leader_waits_for_leases_of_the_previous_term) {
+  start_one_task();
   const std::string state = world.controller.book().save();
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   next.log.leader_term = 2;
   CHECK_TRUE(next.controller.installed(state).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.beat("b");
   next.pass(milliseconds(3'500));
   LONGS_EQUAL(0, next.beat("b").starts_size());
@@ -49,11 +49,11 @@
 }
 
 TEST(controller_leases, new_leader_takes_over_what_the_worker_lists) {
-  run_one();
+  start_one_task();
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   CHECK_TRUE(next.controller.installed(world.controller.book().save()).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.workers["a"] = world.workers["a"];
   LONGS_EQUAL(0, next.beat("a").starts_size());
   for (int i = 0; i < 60; ++i) {
@@ -67,7 +67,7 @@
 }
 
 TEST(controller_leases, crashed_machine_back_under_a_new_id_frees_its_tasks) {
-  run_one();
+  start_one_task();
   world.workers["a2"].set_address("a:1");
   world.workers["a2"].set_worker("a2");
   world.workers["a2"].set_pool("pool");
@@ -84,13 +84,13 @@
   LONGS_EQUAL(2, orders.starts(0).run());
 }
 
-TEST(controller_leases, late_and_crossed_heartbeats_prolong_nothing) {
-  run_one();
+TEST(controller_leases, late_and_overtaken_heartbeats_extend_no_lease) {
+  start_one_task();
   fleet::fleet_request old;
   *old.mutable_beat() = world.workers["a"];
   world.beat("a");
   LONGS_EQUAL(0, world.ask(old).orders().hold_ms());
-  // Sent five seconds ago by the worker's own clock.
+  // Sent 5 s ago according to the worker's clock.
   fleet::fleet_request late;
   *late.mutable_beat() = world.workers["a"];
   late.mutable_beat()->set_sequence(99);
@@ -98,16 +98,15 @@
   LONGS_EQUAL(0, world.ask(late).orders().hold_ms());
 }
 
-TEST(controller_leases,
-     lost_leadership_leaves_outcomes_unknown_once_handed_over) {
+TEST(controller_leases, proposed_job_is_unknown_after_lost_leadership) {
   struct row {
     const char* name;
-    bool handed_to_the_log;
+    bool proposed;
     fleet::fleet_status status;
   };
   const row rows[] = {
-      {"not yet in the log", false, fleet::fleet_unavailable},
-      {"in the log", true, fleet::fleet_unknown},
+      {"not yet proposed", false, fleet::fleet_unavailable},
+      {"proposed", true, fleet::fleet_unknown},
   };
   for (const row& it : rows) {
     test_world fresh;
@@ -116,15 +115,14 @@
     fresh.controller.request(
         test_world::make_submit(7, {test_world::make_step(1)}),
         [&](const fleet::fleet_response& r) { status = r.status(); });
-    if (it.handed_to_the_log) fresh.controller.settle();
-    LONGS_EQUAL_TEXT(it.handed_to_the_log ? 1 : 0, fresh.log.proposed.size(),
-                     it.name);
-    fresh.controller.leads(false);
+    if (it.proposed) fresh.controller.decide();
+    LONGS_EQUAL_TEXT(it.proposed ? 1 : 0, fresh.log.proposed.size(), it.name);
+    fresh.controller.set_leading(false);
     LONGS_EQUAL_TEXT(it.status, status, it.name);
   }
 }
 
-TEST(controller_leases, few_workers_call_the_leader_itself) {
+TEST(controller_leases, few_workers_call_the_leader_directly) {
   world.configure();
   for (int i = 0; i < 140; ++i) {
     STRCMP_EQUAL("leader:1",
@@ -135,38 +133,40 @@
 
 TEST(controller_leases, many_workers_call_less_often) {
   world.configure();
-  const uint64_t few = world.beat("w0").next_beat_ms();
-  LONGS_EQUAL(300, few);
+  const uint64_t interval_of_few = world.beat("w0").next_beat_ms();
+  LONGS_EQUAL(300, interval_of_few);
   for (int i = 1; i < 4'000; ++i) world.beat("w" + std::to_string(i));
   LONGS_EQUAL(1'000, world.beat("w0").next_beat_ms());
 }
 
-// A leader that was held up while another one led took a start that the other
-// one had sent for one that was sent in no answer, and placed its task anew.
-TEST(controller_leases, what_an_earlier_term_left_unsent_is_not_taken_back) {
+// A leader was held up while another box led, and took a start that the other
+// leader had sent for an unsent one: it placed the task a second time.
+TEST(controller_leases, start_unsent_in_an_earlier_term_is_not_withdrawn) {
   world.configure();
   world.beat("a");
   world.submit(7, {test_world::make_step(1)});
   LONGS_EQUAL(1, world.controller.book().runs_on(worker_id("a")).size());
-  // The one in between ordered it; nothing told this box that it led.
+  // The box that led in between sent the order; this box was not told of the
+  // change.
   world.log.leader_term += 2;
-  world.controller.leads(true);
+  world.controller.set_leading(true);
   world.pass(milliseconds(1'500));
   LONGS_EQUAL(1, world.controller.book().runs_on(worker_id("a")).size());
 }
 
-// A heartbeat from before the run began, held up until another box led, passed
-// for one that should list it: the run was given up on while it went on.
-TEST(controller_leases, run_is_not_missed_in_a_heartbeat_of_unknown_age) {
-  run_one();
+// A heartbeat sent before the run began and delayed until another box led was
+// taken for one that should list the run: the run was declared lost while it
+// was alive.
+TEST(controller_leases, run_missing_from_a_heartbeat_of_unknown_age_is_kept) {
+  start_one_task();
   fleet::worker_beat before = world.workers["a"];
   before.clear_running();
-  // What lacks room for the run is not sent it again.
+  // Too little capacity for the run, so that its start is not sent again.
   before.set_cpu_milli(500);
   test_world next;
-  next.controller.leads(false);
+  next.controller.set_leading(false);
   CHECK_TRUE(next.controller.installed(world.controller.book().save()).ok());
-  next.controller.leads(true);
+  next.controller.set_leading(true);
   next.pass(milliseconds(1'700));
   fleet::fleet_request held_up;
   *held_up.mutable_beat() = before;
--- a/fleet/leader-lag.cc
+++ b/fleet/leader-lag.cc
@@ -5,16 +5,18 @@
 namespace kestrelreel {
 namespace detail {
 
-/// The stretch grows faster than it falls: a leader that is behind must shed
-/// work before answers come too late, and one that caught up would fall behind
-/// again if it took up all at once. In percent of the stretch, each tick.
+/// Growth and decay of the stretch per tick, in percent. The stretch grows
+/// faster than it decays: a lagging leader must shed work before answers come
+/// too late, and a leader that has caught up would lag again if it resumed all
+/// duties at once.
 constexpr unsigned growth_percent = 150;
 constexpr unsigned decay_percent = 90;
 
 }  // namespace detail
 
-/// Half of the heartbeats: what a cut held up comes late whatever the leader
-/// does, and is of a few workers.
+/// Returns the median heartbeat delay since the last tick. Unlike the mean, the
+/// median ignores the few workers whose heartbeats a network cut delays, which
+/// the leader can't influence.
 milliseconds leader_lag::take_median() {
   if (delays_.empty()) return milliseconds(0);
   const auto middle =
@@ -28,13 +30,13 @@
 void leader_lag::tick(milliseconds late) {
   lag_ = take_median() + std::max(milliseconds(0), late);
   unsigned next = stretch_percent_;
-  if (lag_ >= settings_.behind_from) {
-    next = next * detail::growth_percent / usual_percent;
-  } else if (lag_ < settings_.behind_from / 2) {
-    next = next * detail::decay_percent / usual_percent;
+  if (lag_ >= settings_.behind_threshold) {
+    next = next * detail::growth_percent / normal_percent;
+  } else if (lag_ < settings_.behind_threshold / 2) {
+    next = next * detail::decay_percent / normal_percent;
   }
   stretch_percent_ =
-      std::clamp(next, usual_percent, settings_.most_stretch_percent);
+      std::clamp(next, normal_percent, settings_.max_stretch_percent);
 }
 
 }  // namespace kestrelreel
