--- a/fleet/controller-lag.cc
+++ b/fleet/controller-lag.cc
@@ -33,7 +33,7 @@
 }
 
 void fleet_controller::note_looks() {
-  const uint64_t looks = scheduler_.take_looks();
+  const uint64_t looks = scheduler_.take_worker_evaluations();
   if (looks == 0) return;
   load_.looks += looks;
   metrics_.counter("kestrelreel_placement_looks_total") += looks;
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -277,7 +277,7 @@
   if (!takes_starts(it) || losing_.contains(it.id)) return {};
   // An order in an answer that its worker drops holds room for nothing until
   // its next call; one that was sent in none can be taken back.
-  if (lag_.behind() && !scheduler_.is_open(it)) return {};
+  if (lag_.behind() && !scheduler_.has_open_call(it)) return {};
   if (is_overfull(it)) return {};
   std::vector<run_key> out;
   for (const run_key& run : book_.runs_on(it.id)) {
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -203,8 +203,8 @@
   if (it.failures == 0 || job != it.failed_job) ++it.failed_jobs;
   it.failed_job = job;
   ++it.failures;
-  const bool bad =
-      it.failures >= settings_.scheduling.avoid_after && it.failed_jobs >= 2;
+  const bool bad = it.failures >= settings_.scheduling.avoid_after_failures &&
+                   it.failed_jobs >= 2;
   if (!bad) return;
   it.failures = it.failed_jobs = 0;
   avoid(it, "fails what it starts");
@@ -217,7 +217,8 @@
   const bool refused = std::any_of(ends.begin(), ends.end(), [](auto& end) {
     return end.outcome() == fleet::run_refused;
   });
-  if (!refused || ++it.refusals < settings_.scheduling.avoid_after) return;
+  if (!refused || ++it.refusals < settings_.scheduling.avoid_after_failures)
+    return;
   it.refusals = 0;
   avoid(it, "refuses what it is given");
 }
@@ -294,9 +295,10 @@
     return task == nullptr || task->phase != task_phase::running ||
            task->run != run.run;
   });
-  const fleet_scheduler::rooms_made made = scheduler_.keep_rooms(yielding_);
-  metrics_.counter("kestrelreel_rooms_kept_total") += made.kept;
-  metrics_.counter("kestrelreel_room_looks_total") += made.looks;
+  const fleet_scheduler::reservation_result made =
+      scheduler_.reserve_capacity(yielding_);
+  metrics_.counter("kestrelreel_rooms_kept_total") += made.added;
+  metrics_.counter("kestrelreel_room_looks_total") += made.workers_examined;
   for (const auto& [run, step] : made.evictions) {
     yielding_.insert(run);
     ++metrics_.counter("kestrelreel_evictions_total", {{"cause", "lasting"}});
--- a/fleet/waits.cc
+++ b/fleet/delayed-steps.cc
@@ -27,7 +27,7 @@
   if (spec.times() == 0) return time_point{};
   const uint64_t due = spec.start_ms() + time * spec.interval_ms();
   if (wall_ms_ < due) return std::nullopt;
-  return wall_told_at_ - milliseconds(wall_ms_ - due);
+  return wall_read_at_ - milliseconds(wall_ms_ - due);
 }
 
 /// Tasks of the step that wait and are not proposed anywhere; those that had
@@ -47,9 +47,9 @@
 }
 
 /// The step's waits, those of tasks that had begun before apart.
-void fleet_scheduler::add_waits(const job_entry& job, const task_key& first,
-                                time_point since,
-                                std::vector<long_wait>& out) const {
+void fleet_scheduler::add_delayed_steps(const job_entry& job,
+                                        const task_key& first, time_point since,
+                                        std::vector<delayed_step>& out) const {
   const auto& spec = job.spec.steps(static_cast<int>(first.step));
   if (!spec.long_running() || spec.gang()) return;
   if (!book_.step_is_due(job, first.time, first.step)) return;
@@ -60,7 +60,7 @@
     out.push_back({priority, since, first, begun, spec.cpu_milli(), false});
   }
   // New ones may wait longer: a processor is worth more to short jobs.
-  if (all > begun && clock_.now() - since >= settings_.keep_new_after) {
+  if (all > begun && clock_.now() - since >= settings_.reserve_new_after) {
     out.push_back({priority, since, first, all, spec.cpu_milli(), true});
   }
 }
@@ -69,21 +69,21 @@
 /// most urgent first. Of these those that had begun before, the small ones
 /// before others: where there isn't room for all, what served goes on, and more
 /// tasks serve.
-std::vector<fleet_scheduler::long_wait> fleet_scheduler::long_waits(
+std::vector<fleet_scheduler::delayed_step> fleet_scheduler::delayed_steps(
     milliseconds least) {
-  std::vector<long_wait> out;
+  std::vector<delayed_step> out;
   const time_point now = clock_.now();
   for (const auto& [order, number] : book_.live()) {
-    const auto plan = plans_.find(number);
-    if (plan == plans_.end() || !plan->second.waits_since) continue;
+    const auto plan = tracked_jobs_.find(number);
+    if (plan == tracked_jobs_.end() || !plan->second.pending_since) continue;
     const job_entry& job = *book_.find(number);
     for (uint32_t time = 0; time < job.times.size(); ++time) {
       const auto due = due_since(job, time);
       if (!due) break;
-      const time_point since = std::max(*plan->second.waits_since, *due);
+      const time_point since = std::max(*plan->second.pending_since, *due);
       if (now - since < least) break;
       for (uint32_t step = 0; step < job.times[time].size(); ++step) {
-        add_waits(job, {number, time, step, 0}, since, out);
+        add_delayed_steps(job, {number, time, step, 0}, since, out);
       }
     }
   }
@@ -96,17 +96,17 @@
 
 /// The usable workers, and what their runs that don't last would leave: fill
 /// tasks, those less urgent than that priority, and those as urgent.
-std::vector<fleet_scheduler::yielding> fleet_scheduler::yielding_to(
+std::vector<fleet_scheduler::reclaimable> fleet_scheduler::reclaimable_for(
     uint32_t priority) {
-  std::vector<yielding> out;
+  std::vector<reclaimable> out;
   for (worker_view* it : candidates()) {
-    yielding& to = out.emplace_back(yielding{it, {}, {}, {}});
+    reclaimable& to = out.emplace_back(reclaimable{it, {}, {}, {}});
     for (const run_key& run : book_.runs_on(it->id)) {
       const fleet::step_spec* spec = book_.find_step(run.task);
       if (spec == nullptr || spec->long_running()) continue;
       const job_entry& job = *book_.find(run.task.job);
       const bool lesser = book_.queue_of(job).priority() > priority;
-      gain& more = spec->fills() ? to.fills : lesser ? to.lesser : to.same;
+      resources& more = spec->fills() ? to.fills : lesser ? to.lesser : to.same;
       if (!spec->fills()) more.cpu += spec->cpu_milli();
       more.memory_mb += spec->memory_mb();
       more.accelerators += spec->accelerators();
@@ -116,40 +116,40 @@
 }
 
 /// The usable workers, and how what does not last there may end.
-std::vector<fleet_scheduler::worker_ways> fleet_scheduler::all_ways(
+std::vector<fleet_scheduler::worker_releases> fleet_scheduler::all_releases(
     uint32_t priority, const std::set<run_key>& stopping) {
-  std::vector<worker_ways> out;
+  std::vector<worker_releases> out;
   for (worker_view* it : candidates()) {
-    worker_ways& worker = out.emplace_back(
-        worker_ways{it, ways_out(*it, priority, stopping), {}});
-    for (const way_out& way : worker.ways) worker.most.add(way.more);
+    worker_releases& worker = out.emplace_back(
+        worker_releases{it, release_options(*it, priority, stopping), {}});
+    for (const release_option& way : worker.ways) worker.most.add(way.more);
   }
   return out;
 }
 
-fleet_scheduler::places fleet_scheduler::count_places(
-    const step_to_place& step, const std::vector<yielding>& workers) const {
+fleet_scheduler::fit_counts fleet_scheduler::count_fits(
+    const pending_step& step, const std::vector<reclaimable>& workers) const {
   const fleet::step_spec& spec = step.spec;
   const auto rest = [](uint64_t all, uint64_t taken) {
     return all - std::min(all, taken);
   };
-  places out;
-  for (const yielding& it : workers) {
+  fit_counts out;
+  for (const reclaimable& it : workers) {
     const worker_view& where = *it.where;
     if (where.beat.pool() != step.pool) continue;
     ++out.usable;
-    if (!may_carry(where, step)) {
+    if (!meets_constraints(where, step)) {
       ++out.barred;
       continue;
     }
-    gain room;
+    resources room;
     room.cpu = rest(where.beat.cpu_milli(), where.load.cpu);
     room.memory_mb = rest(where.beat.memory_mb(), where.load.memory_mb);
     out.most_cpu = std::max(out.most_cpu, room.cpu);
     out.most_memory = std::max(out.most_memory, room.memory_mb);
     if (room.cpu >= spec.cpu_milli()) ++out.fit_cpu;
     if (room.memory_mb >= spec.memory_mb()) ++out.fit_memory;
-    const auto holds = [&](const gain& more) -> uint64_t {
+    const auto holds = [&](const resources& more) -> uint64_t {
       room.cpu += more.cpu;
       room.memory_mb += more.memory_mb;
       return room.cpu >= spec.cpu_milli() && room.memory_mb >= spec.memory_mb();
@@ -162,10 +162,10 @@
   return out;
 }
 
-void fleet_scheduler::report_wait(const step_to_place& step, uint64_t tasks,
+void fleet_scheduler::report_wait(const pending_step& step, uint64_t tasks,
                                   milliseconds waited,
-                                  const std::vector<yielding>& workers) {
-  const places n = count_places(step, workers);
+                                  const std::vector<reclaimable>& workers) {
+  const fit_counts n = count_fits(step, workers);
   log_event(detail::service_name, log_level::warn, "lasting-waits")
       .with("step", to_text(step.first))
       .with("tasks", tasks)
@@ -188,10 +188,10 @@
 /// the others what is taken, and what of that their workers do not list.
 void fleet_scheduler::report_processors() {
   std::map<std::string, uint64_t> ruled_out;
-  gain all, taken, unlisted, kept;
+  resources all, taken, unlisted, kept;
   const size_t usable = candidates().size();
   for (auto& [id, it] : workers_.views()) {
-    if (const char* reason = ruled_out_by(it)) {
+    if (const char* reason = exclusion_reason(it)) {
       ++ruled_out[reason];
       continue;
     }
@@ -217,21 +217,21 @@
   const time_point now = clock_.now();
   if (now - waits_reported_at_ < detail::report_every) return;
   waits_reported_at_ = now;
-  std::map<uint32_t, std::vector<yielding>> by_priority;
+  std::map<uint32_t, std::vector<reclaimable>> by_priority;
   size_t lines = 0;
-  for (const long_wait& wait : long_waits(detail::report_after)) {
+  for (const delayed_step& wait : delayed_steps(detail::report_after)) {
     if (lines == 0) report_processors();
     if (++lines > detail::most_reports) return;
     const auto [workers, fresh] = by_priority.try_emplace(wait.priority);
-    if (fresh) workers->second = yielding_to(wait.priority);
+    if (fresh) workers->second = reclaimable_for(wait.priority);
     const job_entry& job = *book_.find(wait.first.job);
-    report_wait(place_of(job, wait.first, false), wait.tasks, now - wait.since,
-                workers->second);
+    report_wait(pending_step_of(job, wait.first, false), wait.tasks,
+                now - wait.since, workers->second);
   }
 }
 
 void fleet_scheduler::report_late_start(const placement& it, bool lasts) {
-  const auto& since = plan_of(it.task.job).waits_since;
+  const auto& since = tracking_of(it.task.job).pending_since;
   if (!lasts || !since) return;
   const milliseconds waited = clock_.now() - *since;
   if (waited < detail::report_after) return;
@@ -244,16 +244,19 @@
 /// Tells once of a step that no worker may carry but evacuated ones: it waits
 /// until the evacuation is taken back.
 void fleet_scheduler::report_if_barred(
-    const step_to_place& step, const std::vector<worker_view*>& usable) {
-  if (book_.evacuated().empty() || barred_told_.contains(step.first)) return;
-  const auto carries = [&](const auto* it) { return may_carry(*it, step); };
+    const pending_step& step, const std::vector<worker_view*>& usable) {
+  if (book_.evacuated().empty() || reported_barred_.contains(step.first))
+    return;
+  const auto carries = [&](const auto* it) {
+    return meets_constraints(*it, step);
+  };
   if (std::any_of(usable.begin(), usable.end(), carries)) return;
   const auto& views = workers_.views();
   const auto n = std::count_if(views.begin(), views.end(), [&](const auto& it) {
     return is_evacuated(it.second) && carries(&it.second);
   });
   if (n == 0) return;
-  barred_told_.insert(step.first);
+  reported_barred_.insert(step.first);
   log_event(detail::service_name, log_level::warn, "step-waits-for-evacuation")
       .with("step", to_text(step.first))
       .with("label", step.spec.requires_label())
@@ -261,7 +264,8 @@
       .with("data-centres", book_.evacuated().names());
 }
 
-void fleet_scheduler::release_room(worker_view& where, const task_key& step) {
+void fleet_scheduler::release_reservation(worker_view& where,
+                                          const task_key& step) {
   const auto drop = [&](worker_view& it) {
     const auto kept =
         std::find_if(it.kept.begin(), it.kept.end(),
--- a/fleet/evacuation-test-world.h
+++ b/fleet/evacuation-test-world.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "fleet/kept-rooms-test-world.h"
+#include "fleet/reservation-test-world.h"
 
 namespace kestrelreel {
 
@@ -15,7 +15,7 @@
 
 /// Workers `n1`, `n2` in the data centre `north`, `s1`, `s2` in `south`; a
 /// worker has room for four tasks.
-class evacuation_world : public rooms_world {
+class evacuation_world : public reservation_world {
  public:
   evacuation_world() {
     for (const char* name : {"n1", "n2", "s1", "s2"}) {
@@ -62,7 +62,7 @@
   /// Only the workers of that data centre call.
   void call_all(char data_centre) {
     for (const auto& entry : workers) {
-      if (entry.first[0] == data_centre) call(entry.first);
+      if (entry.first[0] == data_centre) heartbeat(entry.first);
     }
   }
   /// The leadership changes; what lasts is in the book.
@@ -131,7 +131,7 @@
 /// with nothing but `n1` known.
 inline void set_out(evacuation_world& world, road it) {
   if (it == road::waiting) world.submit(late_job, {make_task()});
-  world.call("n1");
+  world.heartbeat("n1");
   switch (it) {
     case road::waiting:
       // It found room at once: the answer that carried it is lost.
@@ -150,13 +150,14 @@
       fleet::step_spec second = make_task();
       second.add_depends_on(0);
       world.submit(late_job, {make_task(), second});
-      return world.call("n1");
+      return world.heartbeat("n1");
     }
     case road::interrupted:
       world.submit(late_job, {make_task()});
-      return world.call("n1");
+      return world.heartbeat("n1");
     case road::due_later:
-      return world.submit_due(milliseconds(1'000), 1, late_job, make_task());
+      return world.submit_scheduled(milliseconds(1'000), 1, late_job,
+                                    make_task());
     case road::later_job:
       return;
   }
--- a/fleet/evacuation-test.cc
+++ b/fleet/evacuation-test.cc
@@ -21,7 +21,7 @@
     LONGS_EQUAL_TEXT(0, fresh.running_at('n'), it.name);
     // The order's opposite is what it waits for, or room elsewhere.
     fresh.call_all('s');
-    fresh.go(milliseconds(4'000));
+    fresh.run_for(milliseconds(4'000));
     LONGS_EQUAL_TEXT(0, fresh.running_at('n'), it.name);
     LONGS_EQUAL_TEXT(1, fresh.running_at('s'), it.name);
     CHECK_FALSE_TEXT(fresh.doubled(), it.name);
@@ -30,13 +30,13 @@
 
 TEST(evacuation, what_runs_there_goes_on) {
   world.submit(short_job, {make_task(4)});
-  world.submit(lasting_job, {make_lasting(4, 1'000)});
+  world.submit(long_running_job, {make_long_running(4, 1'000)});
   world.call_all('n');
-  world.go(milliseconds(1'000));
+  world.run_for(milliseconds(1'000));
   const size_t before = world.running_at('n');
   CHECK_TRUE(before > 0);
   world.evacuate();
-  world.go(milliseconds(10'000));
+  world.run_for(milliseconds(10'000));
   LONGS_EQUAL(before, world.running_at('n'));
   LONGS_EQUAL(0, world.stops);
 }
@@ -45,34 +45,34 @@
 TEST(evacuation, no_room_is_kept_there) {
   world.occupy("n1", true, short_job, make_batch(true));
   world.evacuate();
-  world.submit_to(false, lasting_job, make_large());
+  world.submit_to(false, long_running_job, make_large());
   for (int i = 0; i < 40; ++i) {
     world.pass(step_time);
     world.call_all('n');
   }
   LONGS_EQUAL(0, world.stops);
-  LONGS_EQUAL(0, world.rooms(lasting_job));
+  LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
 TEST(evacuation, rooms_kept_there_are_given_up) {
   // Soon over by all that is known, but it goes on.
   world.occupy("n1", false, short_job, make_short(4, 1'000, 1'000));
-  world.submit_to(false, lasting_job, make_lasting(1, 1'000));
+  world.submit_to(false, long_running_job, make_long_running(1, 1'000));
   for (int i = 0; i < 25; ++i) {
     world.pass(step_time);
-    world.call("n1");
+    world.heartbeat("n1");
   }
-  LONGS_EQUAL(1, world.rooms(lasting_job));
+  LONGS_EQUAL(1, world.reservations(long_running_job));
   world.evacuate();
   world.pass(step_time);
-  LONGS_EQUAL(0, world.rooms(lasting_job));
+  LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
 TEST(evacuation, tasks_go_there_again_once_it_is_taken_back) {
   world.call_all('n');
   world.evacuate();
   world.submit(short_job, {make_task(2)});
-  world.go(milliseconds(0));
+  world.run_for(milliseconds(0));
   world.call_all('n');
   LONGS_EQUAL(0, world.running_at('n'));
   world.take_back();
@@ -220,7 +220,7 @@
 // leader knows both and sends none.
 TEST(evacuation,
      start_recorded_before_the_order_is_not_sent_by_the_next_leader) {
-  world.call("n1");
+  world.heartbeat("n1");
   world.submit(late_job, {make_task()});
   world.evacuate();
   world.elect();
@@ -236,19 +236,19 @@
 
 // A worker that leaves there is nothing special: its tasks start elsewhere.
 TEST(evacuation, tasks_of_a_worker_that_leaves_there_start_elsewhere) {
-  world.call("n1");
-  world.submit(lasting_job, {make_lasting(1, 1'000)});
-  world.call("n1");
-  world.call("n1");
+  world.heartbeat("n1");
+  world.submit(long_running_job, {make_long_running(1, 1'000)});
+  world.heartbeat("n1");
+  world.heartbeat("n1");
   LONGS_EQUAL(1, world.running_at('n'));
   world.evacuate();
   fleet::fleet_request request;
   request.set_worker_leaves("n1");
   world.ask(request);
   world.workers.erase("n1");
-  world.call("n2");
+  world.heartbeat("n2");
   world.call_all('s');
-  world.go(milliseconds(2'000));
+  world.run_for(milliseconds(2'000));
   LONGS_EQUAL(0, world.running_at('n'));
   LONGS_EQUAL(1, world.running_at('s'));
 }
--- a/fleet/interference.h
+++ b/fleet/interference.h
@@ -25,17 +25,17 @@
 constexpr double idle_headroom = 6;
 /// The headroom to be kept. At 1 a serving task is at its target; the rest
 /// covers what the forecast misses.
-constexpr double kept_headroom = 1.05;
-constexpr double most_load = 1 - kept_headroom / idle_headroom;
+constexpr double min_headroom = 1.05;
+constexpr double max_load = 1 - min_headroom / idle_headroom;
 /// A pair that costs less is harmless: a whole worker's room of such fill tasks
 /// adds less than a third.
-constexpr double harmless_cost = 0.02;
+constexpr double negligible_cost = 0.02;
 /// The own load that serving tasks are planned for when a fill task is placed:
 /// the upper part of the users' swings, 0.24 to 0.72. Trials with 0.55, 0.64
 /// and 0.74 earned less.
 constexpr double planned_load = 0.68;
 /// What fill tasks may add to such a load, as a share of it.
-constexpr double fill_room = most_load / planned_load - 1;
+constexpr double max_added_load = max_load / planned_load - 1;
 
 /// A serving task's load is the part of its room that is taken: its tail is
 /// `base / (1 - load)`. What fill tasks use beside it raises that load in
--- a/fleet/job-order.cc
+++ b/fleet/job-order.cc
@@ -26,11 +26,11 @@
 
 const char* to_string(job_standing standing) {
   switch (standing) {
-    case job_standing::pressing:
+    case job_standing::interrupted:
       return "pressing";
     case job_standing::in_time:
       return "in-time";
-    case job_standing::lasting:
+    case job_standing::long_running:
       return "lasting";
     case job_standing::late:
       return "late";
@@ -40,7 +40,7 @@
   return "unknown";
 }
 
-milliseconds longest_chain(const job_entry& job, bool whole) {
+milliseconds critical_path_time(const job_entry& job, bool whole) {
   std::vector<uint64_t> ends;
   uint64_t longest = 0;
   for (const fleet::step_spec& it : job.spec.steps()) {
@@ -57,7 +57,7 @@
 
 milliseconds objective_of(const job_entry& job,
                           const fleet::queue_route& queue) {
-  const auto chain = static_cast<double>(longest_chain(job, true).count());
+  const auto chain = static_cast<double>(critical_path_time(job, true).count());
   return milliseconds(static_cast<int64_t>(queue.stretch() * chain)) +
          milliseconds(static_cast<int64_t>(queue.objective_ms()));
 }
@@ -77,7 +77,7 @@
   return false;
 }
 
-uint64_t size_of(const job_entry& job) {
+uint64_t smallest_task_cpu(const job_entry& job) {
   uint64_t least = UINT64_MAX;
   for (const fleet::step_spec& it : job.spec.steps()) {
     if (it.long_running()) least = std::min(least, it.cpu_milli());
@@ -88,12 +88,12 @@
 job_order order_of(const job_entry& job, const fleet::queue_route& queue,
                    time_point accepted, time_point now) {
   const milliseconds objective = objective_of(job, queue);
-  const time_point end = now + longest_chain(job, false);
+  const time_point end = now + critical_path_time(job, false);
   job_order order;
   order.priority = queue.priority();
   order.deadline = accepted + objective;
   if (detail::lasts(job)) {
-    order.standing = job_standing::lasting;
+    order.standing = job_standing::long_running;
   } else if (end > accepted + detail::late_factor * objective) {
     order.standing = job_standing::overdue;
   } else if (end > order.deadline) {
--- a/fleet/job-order.h
+++ b/fleet/job-order.h
@@ -14,11 +14,11 @@
 /// it must not make others miss theirs as well.
 enum class job_standing : uint8_t {
   /// Its tasks serve; some of them were interrupted and have waited for long.
-  pressing,
+  interrupted,
   /// It can still end within its objective.
   in_time,
   /// Its tasks serve for as long as they run: a delay costs in proportion.
-  lasting,
+  long_running,
   /// It can still end within `late_factor` times its objective.
   late,
   /// Any time is as good as another.
@@ -41,7 +41,7 @@
 
 /// The longest chain of estimates over the steps that are not done, in ms; of
 /// all steps with `whole`. The first time's steps count.
-milliseconds longest_chain(const job_entry& job, bool whole);
+milliseconds critical_path_time(const job_entry& job, bool whole);
 
 /// The time from a job's coming within which it should end.
 milliseconds objective_of(const job_entry& job,
@@ -52,7 +52,7 @@
 /// True when a task of the job is.
 bool was_interrupted(const job_entry& job);
 /// The processors of the job's smallest lasting task, in thousandths.
-uint64_t size_of(const job_entry& job);
+uint64_t smallest_task_cpu(const job_entry& job);
 
 /// Where a job that came at `accepted` stands at `now`.
 job_order order_of(const job_entry& job, const fleet::queue_route& queue,
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -87,7 +87,7 @@
 
 TEST(lagging_leader, steps_without_room_cost_a_bounded_part_of_it) {
   controller_settings settings = test_world::make_settings();
-  settings.scheduling.retry_looks_per_s = 50'000;
+  settings.scheduling.max_retry_evaluations_per_s = 50'000;
   test_world bounded(settings);
   bounded.configure(1, 99);
   for (int i = 0; i < 200; ++i) bounded.beat("w" + std::to_string(1'000 + i));
@@ -108,7 +108,7 @@
 
 TEST(lagging_leader, one_plan_looks_at_a_bounded_number_of_workers) {
   controller_settings settings = test_world::make_settings();
-  settings.scheduling.most_plan_looks = 1'000;
+  settings.scheduling.max_plan_evaluations = 1'000;
   test_world bounded(settings);
   bounded.configure(1, 99);
   for (int i = 0; i < 200; ++i) bounded.beat("w" + std::to_string(1'000 + i));
--- a/fleet/load-replay-test.cc
+++ b/fleet/load-replay-test.cc
@@ -30,15 +30,15 @@
 // for a target more of them come late.
 TEST(load_replay, fill_jobs_are_in_time_beside_serving_tasks) {
   struct row {
-    double target_cores;
+    double max_backfill_loss_cores;
     double least;
     double most;
   };
-  const row rows[] = {{scheduler_settings().target_cores, 0.68, 1},
+  const row rows[] = {{scheduler_settings().max_backfill_loss_cores, 0.68, 1},
                       {12, 0, 0.62}};
   for (const row& it : rows) {
     scheduler_settings settings;
-    settings.target_cores = it.target_cores;
+    settings.max_backfill_loss_cores = it.max_backfill_loss_cores;
     const double share = earned("fill-over-serving", "fill", settings);
     CHECK_TRUE(share >= it.least && share <= it.most);
   }
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -84,9 +84,9 @@
   return all;
 }
 
-std::vector<fleet_scheduler::fill_task> fleet_scheduler::fill_tasks(
+std::vector<fleet_scheduler::backfill_task> fleet_scheduler::backfill_tasks(
     const worker_view& it) {
-  std::vector<fill_task> all;
+  std::vector<backfill_task> all;
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
     if (step == nullptr || !step->fills()) continue;
@@ -102,18 +102,18 @@
 /// Learns from a heartbeat's readings and sets the pace of its fill tasks.
 void fleet_scheduler::pace(worker_view& it) {
   const std::vector<serving_task> serving = serving_tasks(it);
-  std::vector<fill_task> fills = fill_tasks(it);
+  std::vector<backfill_task> fills = backfill_tasks(it);
   std::vector<image_use> use;
   use.reserve(fills.size());
-  for (const fill_task& fill : fills) use.push_back({fill.image, fill.use});
+  for (const backfill_task& fill : fills) use.push_back({fill.image, fill.use});
   std::erase_if(it.excess,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
-  for (const serving_task& task : serving) learn(it, task, use);
-  for (const serving_task& task : serving) hold_back(it, task, fills);
-  guard(it, serving, fills);
-  note_held(it, fills);
+  for (const serving_task& task : serving) update_model(it, task, use);
+  for (const serving_task& task : serving) throttle_backfill(it, task, fills);
+  enforce_targets(it, serving, fills);
+  mark_throttled(it, fills);
   it.pace.clear();
-  for (const fill_task& fill : fills) {
+  for (const backfill_task& fill : fills) {
     const double percent =
         std::floor(fill.share * full_pace / detail::pace_step) *
         detail::pace_step;
@@ -122,9 +122,9 @@
 }
 
 /// The last resort, independent of what the model believes.
-void fleet_scheduler::guard(worker_view& it,
-                            const std::vector<serving_task>& serving,
-                            std::vector<fill_task>& fills) {
+void fleet_scheduler::enforce_targets(worker_view& it,
+                                      const std::vector<serving_task>& serving,
+                                      std::vector<backfill_task>& fills) {
   std::erase_if(it.over_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   bool stop = false;
@@ -143,14 +143,14 @@
     }
   }
   if (!stop) return;
-  for (fill_task& fill : fills) fill.share = 0;
+  for (backfill_task& fill : fills) fill.share = 0;
 }
 
-void fleet_scheduler::note_held(worker_view& it,
-                                const std::vector<fill_task>& fills) {
+void fleet_scheduler::mark_throttled(worker_view& it,
+                                     const std::vector<backfill_task>& fills) {
   std::erase_if(it.held_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
-  for (const fill_task& fill : fills) {
+  for (const backfill_task& fill : fills) {
     if (fill.share < detail::held_share) {
       workers_.marks().held_back.add(it);
       const auto since = it.held_since.try_emplace(fill.run, it.heard).first;
@@ -176,17 +176,18 @@
          row->second.percent() <= detail::early_percent;
 }
 
-worker_view* fleet_scheduler::better_place(
+worker_view* fleet_scheduler::find_better_worker(
     const worker_view& from, const run_key& run,
     const std::vector<worker_view*>& all) {
   const job_entry* job = book_.find(run.task.job);
   if (job == nullptr || !job->live()) return nullptr;
-  const step_to_place step = place_of(*job, detail::step_key(run.task), false);
+  const pending_step step =
+      pending_step_of(*job, detail::step_key(run.task), false);
   worker_view* it = nullptr;
   double best = 0;
-  count_looks(all.size());
+  count_evaluations(all.size());
   for (worker_view* place : all) {
-    const auto value = value_of(step, *place);
+    const auto value = score_if_allowed(step, *place);
     if (!value || (it != nullptr && *value <= best)) continue;
     it = place;
     best = *value;
@@ -206,15 +207,15 @@
   size_t looks = 0;
   worker_set& held_back = workers_.marks().held_back;
   held_back.review([](const auto& it) { return !it.held_since.empty(); });
-  for (worker_view* held : held_back.from(moves_from_)) {
+  for (worker_view* held : held_back.from(last_move_ordinal_)) {
     worker_view& from = *held;
-    moves_from_ = from.ordinal;
+    last_move_ordinal_ = from.ordinal;
     for (const auto& [run, since] : from.held_since) {
       if (!may_move(from, run)) continue;
       if (runs.size() >= detail::most_moves) return runs;
       if (++looks > detail::most_looks) return runs;
       if (all.empty()) all = candidates();
-      worker_view* place = better_place(from, run, all);
+      worker_view* place = find_better_worker(from, run, all);
       const fleet::step_spec& spec = *book_.find_step(run.task);
       const bool requeue =
           spec.saves_progress() && from.heard - since >= detail::requeue_after;
@@ -240,8 +241,8 @@
 
 /// Tells the model how the task's load compares with what its step's tasks
 /// show, and the forecast what its own load is.
-void fleet_scheduler::learn(worker_view& it, const serving_task& task,
-                            const std::vector<image_use>& use) {
+void fleet_scheduler::update_model(worker_view& it, const serving_task& task,
+                                   const std::vector<image_use>& use) {
   load_forecast& forecast = forecasts_[detail::step_key(task.run.task)];
   const image_id image = task.image;
   const time_point read_at = it.heard - detail::reading_age;
@@ -268,17 +269,18 @@
 /// Lowers the shares of the fill tasks beside a serving task until it can bear
 /// what they add; those that cost it most for their work first. A task whose
 /// target would cost more fill work than it is worth stays over it for now.
-void fleet_scheduler::hold_back(const worker_view& it, const serving_task& task,
-                                std::vector<fill_task>& fills) {
+void fleet_scheduler::throttle_backfill(const worker_view& it,
+                                        const serving_task& task,
+                                        std::vector<backfill_task>& fills) {
   const image_id image = task.image;
   const auto known = it.excess.find(task.run);
   const double excess = known == it.excess.end() ? 0 : known->second;
-  const double spare = most_load - std::clamp(excess - detail::excess_noise,
-                                              0.0, detail::most_excess);
+  const double spare = max_load - std::clamp(excess - detail::excess_noise, 0.0,
+                                             detail::most_excess);
   const double own = own_load(task.run.task, detail::order_age);
   double over = 1 - spare / own;
-  std::vector<std::pair<double, fill_task*>> costs;
-  for (fill_task& fill : fills) {
+  std::vector<std::pair<double, backfill_task*>> costs;
+  for (backfill_task& fill : fills) {
     const double cost = model_.cost(image, fill.image);
     over += cost * fill.full_use * fill.share;
     costs.emplace_back(cost, &fill);
@@ -296,24 +298,24 @@
     lost += fill->full_use * fill->share * (1 - kept);
     shares.push_back(fill->share * kept);
   }
-  if (lost > settings_.target_cores) return;
+  if (lost > settings_.max_backfill_loss_cores) return;
   for (size_t i = 0; i < shares.size(); ++i) costs[i].second->share = shares[i];
 }
 
 /// The share that a fill task could work at beside the serving tasks of that
 /// worker, with the fill tasks that are there already.
 double fleet_scheduler::expected_share(const worker_view& it,
-                                       const step_to_place& step) const {
+                                       const pending_step& step) const {
   const double own_use = detail::reference_use(
       it.beat, static_cast<double>(step.spec.cpu_milli()));
   double share = 1;
   for (const auto& [serving, count] : it.load.serving) {
     const double cost = model_.cost(serving, step.image);
-    if (cost < harmless_cost) continue;
-    double room = fill_room;
+    if (cost < negligible_cost) continue;
+    double room = max_added_load;
     for (const auto& [fill, cpu] : it.load.fills) {
       const double other = model_.cost(serving, fill);
-      if (other < harmless_cost) continue;
+      if (other < negligible_cost) continue;
       room -= other * detail::reference_use(it.beat, static_cast<double>(cpu));
     }
     share = std::min(share, std::max(0.0, room) / (cost * own_use));
@@ -322,19 +324,20 @@
 }
 
 /// True when no serving task there suffers from any fill task known.
-bool fleet_scheduler::bears_all(const worker_view& it) const {
+bool fleet_scheduler::tolerates_backfill(const worker_view& it) const {
   for (const auto& [image, count] : it.load.serving) {
-    if (model_.sensitivity(image) >= harmless_cost) return false;
+    if (model_.sensitivity(image) >= negligible_cost) return false;
   }
   return true;
 }
 
 void fleet_scheduler::forget(job_number job) {
-  plans_.erase(job);
+  tracked_jobs_.erase(job);
   const auto of_job = [&](const auto& p) { return p.first.job == job; };
   std::erase_if(forecasts_, of_job);
-  std::erase_if(try_again_, of_job);
-  std::erase_if(barred_told_, [&](const auto& it) { return it.job == job; });
+  std::erase_if(retry_at_, of_job);
+  std::erase_if(reported_barred_,
+                [&](const auto& it) { return it.job == job; });
 }
 
 }  // namespace kestrelreel
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -8,7 +8,7 @@
 namespace kestrelreel {
 
 /// The tasks that wait, those that had begun before others.
-std::vector<uint32_t> fleet_scheduler::turns_of(const step_entry& step) {
+std::vector<uint32_t> fleet_scheduler::placement_order(const step_entry& step) {
   std::vector<uint32_t> turns;
   for (uint32_t i = 0; i < step.tasks.size(); ++i) {
     if (step.tasks[i].phase == task_phase::waiting) turns.push_back(i);
@@ -20,12 +20,12 @@
 }
 
 fleet_scheduler::ranking fleet_scheduler::rank(
-    const step_to_place& step, const std::vector<worker_view*>& all) {
+    const pending_step& step, const std::vector<worker_view*>& all) {
   std::vector<ranked> values;
   values.reserve(all.size());
-  count_looks(all.size());
+  count_evaluations(all.size());
   for (size_t i = 0; i < all.size(); ++i) {
-    const auto value = value_of(step, *all[i]);
+    const auto value = score_if_allowed(step, *all[i]);
     if (value) values.emplace_back(*value, -static_cast<std::ptrdiff_t>(i));
   }
   return ranking(std::less<ranked>(), std::move(values));
@@ -33,12 +33,12 @@
 
 /// Takes the best one out; it is to be ranked again once it got a task.
 std::optional<size_t> fleet_scheduler::take_best(
-    ranking& best, const step_to_place& step,
+    ranking& best, const pending_step& step,
     const std::vector<worker_view*>& all) {
   while (!best.empty()) {
     const auto at = static_cast<size_t>(-best.top().second);
     best.pop();
-    if (!is_trying(*all[at], step)) return at;
+    if (!is_testing(*all[at], step)) return at;
   }
   return std::nullopt;
 }
@@ -52,36 +52,37 @@
 /// The tasks of a step are alike: each worker is looked at once, and again
 /// when it got one of them.
 std::vector<fleet_scheduler::placement> fleet_scheduler::place_tasks(
-    const waiting_job& job, const step_to_place& step,
+    const waiting_job& job, const pending_step& step,
     std::vector<worker_view*>& all) {
   const step_entry& entry = job.entry->times[step.first.time][step.first.step];
   const run_number gang_run = last_run(entry);
   ranking best = rank(step, all);
   std::vector<placement> placed;
   const bool lasts = step.spec.long_running();
-  uint64_t fresh_room =
-      lasts ? room_for_fresh(step.pool, step.priority, plan_of(job.number)) : 0;
-  for (const uint32_t i : turns_of(entry)) {
+  uint64_t fresh_room = lasts ? new_task_capacity(step.pool, step.priority,
+                                                  tracking_of(job.number))
+                              : 0;
+  for (const uint32_t i : placement_order(entry)) {
     const task_entry& task = entry.tasks[i];
     const bool fresh = lasts && !is_interrupted(task);
     if (fresh && fresh_room < step.spec.cpu_milli()) break;
     const task_key key{job.number, step.first.time, step.first.step, i};
     if (is_proposed(key)) continue;
     const bool suspect = book_.is_suspect(key);
-    if (suspect && awaits_fate(key, task)) continue;
+    if (suspect && awaits_evidence(key, task)) continue;
     const std::optional<size_t> at =
-        suspect ? place_for_suspect(step, all) : take_best(best, step, all);
+        suspect ? worker_for_suspect(step, all) : take_best(best, step, all);
     if (!at && suspect) continue;
     if (!at) break;
     worker_view& where = *all[*at];
-    if (suspect) note_try(where.id, key);
+    if (suspect) record_suspect_trial(where.id, key);
     where.load.add(key, step.spec, step.image);
     if (lasts) {
-      release_room(where, step.first);
-      use_of(step.pool).lasting += step.spec.cpu_milli();
+      release_reservation(where, step.first);
+      pool_use_of(step.pool).lasting += step.spec.cpu_milli();
       fresh_room -= std::min(fresh_room, step.spec.cpu_milli());
     }
-    if (const auto value = value_of(step, where)) {
+    if (const auto value = score_if_allowed(step, where)) {
       best.emplace(*value, -static_cast<std::ptrdiff_t>(*at));
     }
     const run_number run = step.spec.gang() ? gang_run : task.run;
@@ -102,20 +103,20 @@
   const size_t waiting =
       entry.tasks.size() - entry.done - entry.running - count_proposed(first);
   if (waiting == 0) return;
-  const bool anywhere = may_try(first);
-  if (!anywhere && !fits_where_freed(*job.entry, first)) return;
-  const step_to_place place = place_of(*job.entry, first, job.starved);
-  const size_t opened = place_where_open(job, place, waiting, out);
-  if (opened >= waiting) return void(try_again_.erase(first));
-  if (all.empty()) all = places_now();
+  const bool anywhere = retry_is_due(first);
+  if (!anywhere && !fits_on_freed_worker(*job.entry, first)) return;
+  const pending_step place = pending_step_of(*job.entry, first, job.starved);
+  const size_t opened = place_on_open_workers(job, place, waiting, out);
+  if (opened >= waiting) return void(retry_at_.erase(first));
+  if (all.empty()) all = plan_candidates();
   const std::vector<placement> placed =
       place_tasks(job, place, anywhere ? all : freed_);
-  if (anywhere) try_again_.erase(first);
+  if (anywhere) retry_at_.erase(first);
   if (anywhere && opened + placed.size() < waiting) {
-    try_again_[first] =
+    retry_at_[first] =
         clock_.now() + retry_pause(all.size(), spec.long_running());
   }
-  if (spec.gang() && placed.size() < waiting) return take_back(placed);
+  if (spec.gang() && placed.size() < waiting) return cancel_placements(placed);
   if (opened + placed.size() == 0 && anywhere) report_if_barred(place, all);
   start(placed, place, out);
 }
@@ -129,32 +130,32 @@
 }
 
 /// Places tasks of a short step at workers whose call is held; how many.
-size_t fleet_scheduler::place_where_open(const waiting_job& job,
-                                         const step_to_place& step,
-                                         size_t wanted,
-                                         fleet::run_starts& out) {
+size_t fleet_scheduler::place_on_open_workers(const waiting_job& job,
+                                              const pending_step& step,
+                                              size_t wanted,
+                                              fleet::run_starts& out) {
   const fleet::step_spec& spec = step.spec;
   // Where data lies and what disturbs whom is looked for among all.
   if (spec.long_running() || !spec.affinity_rack().empty()) return 0;
-  if (!open_) open_ = open_places();
-  if (open_->empty()) return 0;
-  const std::vector<placement> placed = place_tasks(job, step, *open_);
+  if (!open_workers_) open_workers_ = open_candidates();
+  if (open_workers_->empty()) return 0;
+  const std::vector<placement> placed = place_tasks(job, step, *open_workers_);
   if (spec.gang() && placed.size() < wanted) {
-    take_back(placed);
+    cancel_placements(placed);
     return 0;
   }
   start(placed, step, out);
   return placed.size();
 }
 
-void fleet_scheduler::take_back(const std::vector<placement>& placed) {
+void fleet_scheduler::cancel_placements(const std::vector<placement>& placed) {
   for (const placement& it : placed) it.where->load = load_of(*it.where);
 }
 
 void fleet_scheduler::start(const std::vector<placement>& placed,
-                            const step_to_place& step, fleet::run_starts& out) {
+                            const pending_step& step, fleet::run_starts& out) {
   if (placed.empty()) return;
-  plan_of(step.first.job).idle_since.reset();
+  tracking_of(step.first.job).idle_since.reset();
   for (const placement& it : placed) {
     report_late_start(it, step.spec.long_running());
     proposed_[it.task] = it.where->id;
--- a/fleet/kept-rooms-rounds-test.cc
+++ b/fleet/reservation-rounds-test.cc
@@ -1,12 +1,12 @@
 // Lasting tasks that press for room were looked at in every other round only.
 #include <CppUTest/TestHarness.h>
 
-#include "fleet/kept-rooms-test-world.h"
+#include "fleet/reservation-test-world.h"
 
 using namespace kestrelreel;
 
-TEST_GROUP(kept_rooms_rounds) {
-  rooms_world world;
+TEST_GROUP(reservation_rounds) {
+  reservation_world world;
 
   uint64_t looks() {
     return world.metrics.counter("kestrelreel_room_looks_total");
@@ -14,34 +14,34 @@
   /// One of two tasks that may not share a worker fails, and the other has the
   /// only worker that is left.
   void interrupt_one_of_two() {
-    fleet::step_spec step = make_lasting(2, 1'000);
+    fleet::step_spec step = make_long_running(2, 1'000);
     step.set_anti_affinity(1);
-    world.call("a");
-    world.call("b");
-    world.submit_to(false, lasting_job, step);
-    world.call("a");
-    world.call("b");
-    LONGS_EQUAL(2, world.running(lasting_job));
+    world.heartbeat("a");
+    world.heartbeat("b");
+    world.submit_to(false, long_running_job, step);
+    world.heartbeat("a");
+    world.heartbeat("b");
+    LONGS_EQUAL(2, world.running(long_running_job));
     fleet::worker_beat& b = world.workers["b"];
     const fleet::running_row row = b.running(0);
     world.end("b", row.task(), row.run(), fleet::run_failed);
     b.set_draining(true);
     b.set_remaining_ms(60'000);
-    world.call("b");
+    world.heartbeat("b");
   }
 };
 
-TEST(kept_rooms_rounds, pressing_step_is_looked_at_in_each_round) {
+TEST(reservation_rounds, pressing_step_is_looked_at_in_each_round) {
   // Rounds are 0.5 ms for each worker apart, at the least.
   constexpr int others = 1'100;
   const milliseconds pauses[] = {milliseconds(600), milliseconds(560)};
-  world.add_elsewhere(others);
+  world.add_other_pool_workers(others);
   interrupt_one_of_two();
-  const milliseconds pressing = milliseconds(6'000);
-  for (milliseconds at{0}; at < pressing; at += step_time) {
+  const milliseconds overdue_after = milliseconds(6'000);
+  for (milliseconds at{0}; at < overdue_after; at += step_time) {
     world.pass(step_time);
-    world.call("a");
-    world.call("b");
+    world.heartbeat("a");
+    world.heartbeat("b");
   }
   constexpr int rounds = 10;
   for (int i = 0; i < rounds; ++i) {
@@ -49,7 +49,7 @@
     world.clock.advance(pauses[i % 2]);
     world.controller.tick();
     world.commit();
-    world.call("a");
+    world.heartbeat("a");
     CHECK_TRUE(looks() > before);
   }
 }
--- a/fleet/kept-rooms-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -9,17 +9,17 @@
 namespace kestrelreel {
 
 constexpr uint64_t short_job = 1;
-constexpr uint64_t lasting_job = 2;
+constexpr uint64_t long_running_job = 2;
 constexpr uint64_t other_job = 3;
 constexpr milliseconds step_time{200};
 /// Tasks that never began wait for 3 s before room is kept.
-constexpr milliseconds until_kept{4'000};
+constexpr milliseconds until_reserved{4'000};
 
 /// Two queues, and workers that end at once what they are told to stop.
-class rooms_world : public test_world {
+class reservation_world : public test_world {
  public:
-  explicit rooms_world(milliseconds stop = milliseconds(200),
-                       size_t worker_looks = 100'000)
+  explicit reservation_world(milliseconds stop = milliseconds(200),
+                             size_t worker_looks = 100'000)
       : test_world(make_timed(this, stop, worker_looks)) {
     fleet::fleet_config config = make_config(1);
     fleet::queue_route low = config.queues(0);
@@ -41,8 +41,8 @@
   }
 
   /// A job of so many times, 2 s apart, the first of which is due in that time.
-  void submit_due(milliseconds ahead, uint32_t times, uint64_t job,
-                  const fleet::step_spec& step) {
+  void submit_scheduled(milliseconds ahead, uint32_t times, uint64_t job,
+                        const fleet::step_spec& step) {
     fleet::fleet_request request = make_submit(job, {step});
     fleet::fleet_job_spec& spec = *request.mutable_job()->mutable_submit();
     spec.set_times(times);
@@ -52,7 +52,7 @@
   }
 
   /// They count among the workers, but carry nothing of the queues' pool.
-  void add_elsewhere(int n) {
+  void add_other_pool_workers(int n) {
     for (int i = 0; i < n; ++i) {
       const std::string name = "other" + std::to_string(i);
       workers[name].set_worker(name);
@@ -61,7 +61,7 @@
     }
   }
 
-  void call(const std::string& name) {
+  void heartbeat(const std::string& name) {
     const fleet::worker_orders orders = beat(name);
     for (const fleet::stop_order& it : orders.stops()) {
       ++stops;
@@ -69,23 +69,23 @@
     }
   }
 
-  void go(milliseconds n) {
+  void run_for(milliseconds n) {
     for (milliseconds at{0}; at < n; at += step_time) {
       pass(step_time);
-      for (const auto& entry : workers) call(entry.first);
+      for (const auto& entry : workers) heartbeat(entry.first);
     }
   }
 
   /// The worker gets those tasks and works on them.
   void occupy(const std::string& name, bool low, uint64_t job,
               const fleet::step_spec& step) {
-    call(name);
+    heartbeat(name);
     submit_to(low, job, step);
-    call(name);
-    call(name);
+    heartbeat(name);
+    heartbeat(name);
   }
 
-  size_t rooms(uint64_t job) {
+  size_t reservations(uint64_t job) {
     size_t n = 0;
     for (const auto& [id, it] : controller.workers().views()) {
       for (const kept_room& room : it.kept) {
@@ -109,11 +109,12 @@
 
  private:
   /// The time of day goes on with the virtual clock.
-  static controller_settings make_timed(rooms_world* it, milliseconds stop,
+  static controller_settings make_timed(reservation_world* it,
+                                        milliseconds stop,
                                         size_t worker_looks) {
     controller_settings settings = make_settings();
     settings.worker_stop = stop;
-    settings.scheduling.most_worker_looks = worker_looks;
+    settings.scheduling.max_reservation_evaluations = worker_looks;
     settings.wall_clock_ms = [it] {
       return static_cast<uint64_t>(it->clock.now().count());
     };
@@ -129,7 +130,7 @@
   return step;
 }
 
-inline fleet::step_spec make_lasting(uint32_t count, uint64_t cpu) {
+inline fleet::step_spec make_long_running(uint32_t count, uint64_t cpu) {
   fleet::step_spec step = test_world::make_step(count, cpu);
   step.set_memory_mb(10);
   step.set_long_running(true);
@@ -148,7 +149,7 @@
 }
 
 inline fleet::step_spec make_large() {
-  fleet::step_spec step = make_lasting(1, 1'000);
+  fleet::step_spec step = make_long_running(1, 1'000);
   step.set_memory_mb(400);
   return step;
 }
--- a/fleet/kept-rooms.cc
+++ b/fleet/reservations.cc
@@ -60,19 +60,19 @@
 
 }  // namespace detail
 
-void fleet_scheduler::gain::add(const gain& it) {
+void fleet_scheduler::resources::add(const resources& it) {
   cpu += it.cpu;
   memory_mb += it.memory_mb;
   accelerators += it.accelerators;
 }
 
-void fleet_scheduler::gain::take(const gain& it) {
+void fleet_scheduler::resources::take(const resources& it) {
   cpu -= it.cpu;
   memory_mb -= it.memory_mb;
   accelerators -= it.accelerators;
 }
 
-bool fleet_scheduler::gain::covers(const gain& need) const {
+bool fleet_scheduler::resources::covers(const resources& need) const {
   return cpu >= need.cpu && memory_mb >= need.memory_mb &&
          accelerators >= need.accelerators;
 }
@@ -84,13 +84,13 @@
 }
 
 /// True for room that tasks of that priority leave alone.
-bool fleet_scheduler::binds(const kept_room& kept, uint32_t priority) const {
+bool fleet_scheduler::blocks(const kept_room& kept, uint32_t priority) const {
   return priority_of(kept.step) <= priority;
 }
 
 /// True for a run that may be stopped for a lasting task of that priority: for
 /// a more urgent one, fill tasks also for one that is as urgent.
-bool fleet_scheduler::may_yield(const run_key& run, uint32_t priority) const {
+bool fleet_scheduler::may_evict(const run_key& run, uint32_t priority) const {
   const fleet::step_spec& spec = *book_.find_step(run.task);
   if (spec.long_running() || spec.gang()) return false;
   const uint32_t own = priority_of(run.task);
@@ -98,8 +98,8 @@
 }
 
 /// What stopping the run throws away, in seconds of a lasting task.
-double fleet_scheduler::cost_of_stop(const worker_view& it,
-                                     const run_key& run) const {
+double fleet_scheduler::eviction_cost(const worker_view& it,
+                                      const run_key& run) const {
   const fleet::step_spec& spec = *book_.find_step(run.task);
   const auto row = it.rows.find(run);
   const double percent = row == it.rows.end() ? 0 : row->second.percent();
@@ -112,24 +112,24 @@
 
 /// How each run there may end, the best first: by itself, or stopped where that
 /// costs less than to wait for it.
-std::vector<fleet_scheduler::way_out> fleet_scheduler::ways_out(
+std::vector<fleet_scheduler::release_option> fleet_scheduler::release_options(
     const worker_view& it, uint32_t priority,
     const std::set<run_key>& stopping) const {
-  std::vector<way_out> ways;
+  std::vector<release_option> ways;
   const double stop_s =
       static_cast<double>(settings_.worker_stop.count()) / detail::ms_per_s;
   for (const run_key& run : book_.runs_on(it.id)) {
     const fleet::step_spec* spec = book_.find_step(run.task);
     if (spec == nullptr || spec->long_running()) continue;
-    way_out way{run, {}, 0, 0, false};
+    release_option way{run, {}, 0, 0, false};
     way.more.cpu = spec->fills() ? 0 : spec->cpu_milli();
     way.more.memory_mb = spec->memory_mb();
     way.more.accelerators = spec->accelerators();
     way.seconds = detail::remaining_s(it, run, *spec, clock_.now());
-    const double cost = stop_s + cost_of_stop(it, run);
+    const double cost = stop_s + eviction_cost(it, run);
     if (stopping.contains(run)) {
       way.seconds = std::min(way.seconds, stop_s);
-    } else if (may_yield(run, priority) && cost < way.seconds) {
+    } else if (may_evict(run, priority) && cost < way.seconds) {
       way.seconds = stop_s;
       way.cost = cost - stop_s;
       way.stop = true;
@@ -144,14 +144,14 @@
 
 /// What one more task of the step lacks at a worker, beside what is kept for
 /// tasks as urgent.
-fleet_scheduler::gain fleet_scheduler::shortage(
-    const worker_view& it, const step_to_place& step) const {
+fleet_scheduler::resources fleet_scheduler::shortage(
+    const worker_view& it, const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
-  gain need{it.load.cpu + spec.cpu_milli(),
-            it.load.memory_mb + spec.memory_mb(),
-            uint64_t{it.load.accelerators} + spec.accelerators()};
+  resources need{it.load.cpu + spec.cpu_milli(),
+                 it.load.memory_mb + spec.memory_mb(),
+                 uint64_t{it.load.accelerators} + spec.accelerators()};
   for (const kept_room& kept : it.kept) {
-    if (!binds(kept, step.priority)) continue;
+    if (!blocks(kept, step.priority)) continue;
     need.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
   need.cpu = detail::excess(need.cpu, it.beat.cpu_milli());
@@ -163,13 +163,15 @@
 /// The first ways that make so much room within the limit, without those that
 /// the others make up for: what gives way needlessly is work thrown away. None
 /// where there aren't enough.
-std::optional<fleet_scheduler::chosen_ways> fleet_scheduler::enough_ways(
-    const gain& need, const std::vector<way_out>& ways, milliseconds limit) {
+std::optional<fleet_scheduler::chosen_releases>
+fleet_scheduler::choose_releases(const resources& need,
+                                 const std::vector<release_option>& ways,
+                                 milliseconds limit) {
   const double longest = static_cast<double>(limit.count()) / detail::ms_per_s;
-  gain all;
-  chosen_ways out;
-  for (const way_out& way : ways) {
-    const gain& more = way.more;
+  resources all;
+  chosen_releases out;
+  for (const release_option& way : ways) {
+    const resources& more = way.more;
     const bool helps =
         (all.cpu < need.cpu && more.cpu > 0) ||
         (all.memory_mb < need.memory_mb && more.memory_mb > 0) ||
@@ -180,7 +182,7 @@
   }
   if (!all.covers(need)) return std::nullopt;
   for (size_t i = out.size(); i-- > 0;) {
-    gain rest = all;
+    resources rest = all;
     rest.take(out[i]->more);
     if (!rest.covers(need)) continue;
     all = rest;
@@ -190,32 +192,34 @@
 }
 
 /// What it takes to make room at a worker; none where none can be made.
-std::optional<fleet_scheduler::opening> fleet_scheduler::open_up(
-    const worker_ways& worker, const gain& need, const step_to_place& step,
-    milliseconds limit) const {
+std::optional<fleet_scheduler::reservation_plan>
+fleet_scheduler::plan_reservation(const worker_releases& worker,
+                                  const resources& need,
+                                  const pending_step& step,
+                                  milliseconds limit) const {
   worker_view& it = *worker.where;
-  if (!may_carry(it, step)) return std::nullopt;
+  if (!meets_constraints(it, step)) return std::nullopt;
   auto same = static_cast<uint32_t>(
       std::count_if(it.kept.begin(), it.kept.end(),
                     [&](const auto& kept) { return kept.step == step.first; }));
   same += it.load.of_step(step.first);
   const uint32_t spread = step.spec.anti_affinity();
   if (spread > 0 && same >= spread) return std::nullopt;
-  const auto chosen = enough_ways(need, worker.ways, limit);
+  const auto chosen = choose_releases(need, worker.ways, limit);
   if (!chosen) return std::nullopt;
-  opening out{&it, 0, 0, {}};
-  for (const way_out* way : *chosen) {
+  reservation_plan out{&it, 0, 0, {}};
+  for (const release_option* way : *chosen) {
     out.seconds = std::max(out.seconds, way->seconds);
     out.cost += way->cost;
     if (way->stop) out.stops.push_back(way->run);
   }
   out.cost += out.seconds + detail::crowd_s * same -
-              detail::unlike_s * alike(it, step.image);
+              detail::unlike_s * image_affinity(it, step.image);
   return out;
 }
 
 /// Room is kept no longer than for its time, its task, and its worker's use.
-size_t fleet_scheduler::drop_rooms() {
+size_t fleet_scheduler::drop_stale() {
   std::map<task_key, uint32_t> wanted;
   size_t n = 0;
   workers_.marks().with_rooms.review([&](worker_view& it) {
@@ -234,16 +238,17 @@
   return n;
 }
 
-std::optional<fleet_scheduler::opening> fleet_scheduler::best_opening(
-    const step_to_place& step, std::vector<worker_ways>& workers,
+std::optional<fleet_scheduler::reservation_plan> fleet_scheduler::best_plan(
+    const pending_step& step, std::vector<worker_releases>& workers,
     milliseconds limit, size_t& looks) const {
-  std::optional<opening> best;
-  for (worker_ways& it : workers) {
-    const gain need = shortage(*it.where, step);
+  std::optional<reservation_plan> best;
+  for (worker_releases& it : workers) {
+    const resources need = shortage(*it.where, step);
     // In a full fleet hardly a worker could hold it, whatever ends there.
     if (!it.most.covers(need)) continue;
     ++looks;
-    std::optional<opening> found = open_up(it, need, step, limit);
+    std::optional<reservation_plan> found =
+        plan_reservation(it, need, step, limit);
     if (!found || (best && best->cost <= found->cost)) continue;
     best = std::move(found);
   }
@@ -251,15 +256,15 @@
 }
 
 /// The least urgent room, if it does not bind tasks of that priority.
-std::optional<fleet_scheduler::room_place> fleet_scheduler::lesser_room(
-    uint32_t priority) {
-  std::optional<room_place> out;
+std::optional<fleet_scheduler::reservation_ref>
+fleet_scheduler::find_less_urgent(uint32_t priority) {
+  std::optional<reservation_ref> out;
   workers_.marks().with_rooms.review([&](worker_view& it) {
     for (size_t i = 0; i < it.kept.size(); ++i) {
       const uint32_t own = priority_of(it.kept[i].step);
       if (own <= priority) continue;
       priority = own;
-      out = room_place{&it, i};
+      out = reservation_ref{&it, i};
     }
     return !it.kept.empty();
   });
@@ -268,12 +273,12 @@
 
 /// Less urgent rooms make way: they were not counted where the new one opens,
 /// and there are no more in all than may be.
-void fleet_scheduler::drop_lesser_rooms(worker_view& where, uint32_t priority,
-                                        room_look& look) {
+void fleet_scheduler::drop_less_urgent(worker_view& where, uint32_t priority,
+                                       reservation_round& look) {
   look.made.all -= std::erase_if(
-      where.kept, [&](const auto& kept) { return !binds(kept, priority); });
+      where.kept, [&](const auto& kept) { return !blocks(kept, priority); });
   while (look.made.all >= look.most) {
-    const auto room = lesser_room(priority);
+    const auto room = find_less_urgent(priority);
     if (!room) return;
     auto& kept = room->where->kept;
     kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(room->at));
@@ -281,115 +286,119 @@
   }
 }
 
-void fleet_scheduler::keep_for(const long_wait& wait, uint32_t& have,
-                               room_look& look) {
-  rooms_made& out = look.made;
+void fleet_scheduler::reserve_for_step(const delayed_step& wait, uint32_t& have,
+                                       reservation_round& look) {
+  reservation_result& out = look.made;
   if (have >= wait.tasks) return;
   if (wait.fresh) {
     const job_entry& job = *book_.find(wait.first.job);
-    const uint64_t room = room_for_fresh(
-        book_.queue_of(job).pool(), wait.priority, plan_of(wait.first.job));
+    const uint64_t room = new_task_capacity(
+        book_.queue_of(job).pool(), wait.priority, tracking_of(wait.first.job));
     if (room < wait.cpu) return;
   }
-  if (no_opening_until_.contains(wait.first)) {
+  if (no_reservation_until_.contains(wait.first)) {
     out.left_alone += wait.tasks - have;
     return;
   }
   // Estimates are often far off: what waited long takes the soonest room there
   // is, else small tasks take it piece by piece.
-  const bool pressing =
-      !wait.fresh && clock_.now() - wait.since >= settings_.lasting_first_after;
+  const bool pressing = !wait.fresh && clock_.now() - wait.since >=
+                                           settings_.long_running_first_after;
   const milliseconds limit =
-      pressing ? milliseconds::max() : settings_.keep_for;
-  const step_to_place step =
-      place_of(*book_.find(wait.first.job), wait.first, false);
+      pressing ? milliseconds::max() : settings_.reservation_ttl;
+  const pending_step step =
+      pending_step_of(*book_.find(wait.first.job), wait.first, false);
   for (; have < wait.tasks; ++have) {
     if (look.choices >= look.most_choices) return;
-    if (out.all >= look.most && !lesser_room(wait.priority)) return;
+    if (out.all >= look.most && !find_less_urgent(wait.priority)) return;
     ++look.choices;
     const auto [workers, fresh] = look.ways.try_emplace(wait.priority);
-    if (fresh) workers->second = all_ways(wait.priority, look.stopping);
-    const auto best = best_opening(step, workers->second, limit, out.looks);
+    if (fresh) workers->second = all_releases(wait.priority, look.stopping);
+    const auto best =
+        best_plan(step, workers->second, limit, out.workers_examined);
     if (!best) {
       out.without += wait.tasks - have;
-      if (no_opening_until_.size() >= detail::most_left_alone) return;
-      no_opening_until_[wait.first] =
+      if (no_reservation_until_.size() >= detail::most_left_alone) return;
+      no_reservation_until_[wait.first] =
           clock_.now() + (pressing
                               ? look.round
                               : std::max(look.round, detail::left_alone_for));
       return;
     }
-    drop_lesser_rooms(*best->where, wait.priority, look);
-    keep_room(*best, step, workers->second, look);
+    drop_less_urgent(*best->where, wait.priority, look);
+    add_reservation(*best, step, workers->second, look);
   }
 }
 
-fleet_scheduler::rooms_made fleet_scheduler::keep_rooms(
+fleet_scheduler::reservation_result fleet_scheduler::reserve_capacity(
     const std::set<run_key>& stopping) {
   const time_point now = clock_.now();
   const size_t n = workers_.views().size();
   const auto pause = std::chrono::duration_cast<milliseconds>(
-      settings_.keep_pause_per_worker * n);
-  const milliseconds passed = now - rooms_kept_at_;
+      settings_.reservation_pause_per_worker * n);
+  const milliseconds passed = now - reserved_at_;
   if (passed < pause) return {};
-  rooms_kept_at_ = now;
-  std::erase_if(no_opening_until_,
+  reserved_at_ = now;
+  std::erase_if(no_reservation_until_,
                 [&](const auto& it) { return it.second <= now; });
-  room_look look;
-  uses_.clear();
-  rooms_made& out = look.made;
+  reservation_round look;
+  pool_uses_.clear();
+  reservation_result& out = look.made;
   look.stopping = stopping;
-  look.most = std::max<size_t>(1, n * settings_.kept_percent / detail::hundred);
-  look.most_choices =
-      std::max<size_t>(1, settings_.most_worker_looks / std::max<size_t>(1, n));
-  out.all = drop_rooms();
+  look.most =
+      std::max<size_t>(1, n * settings_.max_reserved_percent / detail::hundred);
+  look.most_choices = std::max<size_t>(
+      1, settings_.max_reservation_evaluations / std::max<size_t>(1, n));
+  out.all = drop_stale();
   std::map<task_key, uint32_t> have;
   workers_.marks().with_rooms.review([&](const worker_view& it) {
     for (const kept_room& room : it.kept) ++have[room.step];
     return !it.kept.empty();
   });
   milliseconds longest{0};
-  const std::vector<long_wait> waits = long_waits(settings_.keep_after);
+  const std::vector<delayed_step> waits =
+      delayed_steps(settings_.reserve_after);
   // Else the first ones, looked at again and again, would leave none to others.
   // Half a round less, as the next round may come sooner than this one did.
   look.round = std::min(passed, detail::left_alone_for) *
                    (waits.size() / look.most_choices) +
                std::min(passed, detail::left_alone_for) / 2;
-  for (const long_wait& wait : waits) {
+  for (const delayed_step& wait : waits) {
     longest = std::max(longest, now - wait.since);
-    keep_for(wait, have[wait.first], look);
+    reserve_for_step(wait, have[wait.first], look);
   }
-  if (out.kept + out.without + out.left_alone == 0) return out;
+  if (out.added + out.without + out.left_alone == 0) return out;
   log_event(detail::service_name, log_level::info, "rooms-kept")
-      .with("new", out.kept)
+      .with("new", out.added)
       .with("all", out.all)
       .with("most", look.most)
       .with("without", out.without)
       .with("left-alone", out.left_alone)
       .with("stops", out.evictions.size())
-      .with("looks", out.looks)
+      .with("looks", out.workers_examined)
       .with("longest-wait-ms", longest.count());
   return out;
 }
 
 /// Notes the room, and that what is stopped for it gives way once only.
-void fleet_scheduler::keep_room(const opening& it, const step_to_place& step,
-                                std::vector<worker_ways>& workers,
-                                room_look& look) {
+void fleet_scheduler::add_reservation(const reservation_plan& it,
+                                      const pending_step& step,
+                                      std::vector<worker_releases>& workers,
+                                      reservation_round& look) {
   const fleet::step_spec& spec = step.spec;
   workers_.marks().with_rooms.add(*it.where);
   it.where->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
                             spec.accelerators(),
-                            clock_.now() + settings_.keep_for});
+                            clock_.now() + settings_.reservation_ttl});
   ++look.made.all;
-  ++look.made.kept;
+  ++look.made.added;
   for (const run_key& run : it.stops) {
     look.made.evictions.push_back({run, step.first});
     look.stopping.insert(run);
   }
-  for (worker_ways& other : workers) {
+  for (worker_releases& other : workers) {
     if (other.where != it.where) continue;
-    for (way_out& way : other.ways) {
+    for (release_option& way : other.ways) {
       const bool stopped = std::find(it.stops.begin(), it.stops.end(),
                                      way.run) != it.stops.end();
       if (!stopped) continue;
--- a/fleet/scheduler-test.cc
+++ b/fleet/scheduler-test.cc
@@ -152,14 +152,14 @@
     uint32_t percent;
     int least_beats;
     int most_beats;
-    double target_cores = 12;
+    double max_backfill_loss_cores = 12;
   };
   const row rows[] = {{true, 50, 7, 18},       {false, 5, 7, 18},
                       {false, 50, 20, 24},     {true, 50, 22, 28, 1.5},
                       {false, 5, 22, 28, 1.5}, {false, 50, 34, 40, 1.5}};
   for (const row& it : rows) {
     controller_settings settings = test_world::make_settings();
-    settings.scheduling.target_cores = it.target_cores;
+    settings.scheduling.max_backfill_loss_cores = it.max_backfill_loss_cores;
     test_world fresh(settings);
     fresh.configure();
     fresh.submit(7, {serving("s")});
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -55,7 +55,7 @@
 }
 
 /// The first reason for which the worker gets no new work; null for none.
-const char* fleet_scheduler::ruled_out_by(const worker_view& it) const {
+const char* fleet_scheduler::exclusion_reason(const worker_view& it) const {
   const time_point now = clock_.now();
   if (!it.known) return "unheard";
   if (it.over || it.doubtful) return "another-life";
@@ -69,7 +69,7 @@
 }
 
 bool fleet_scheduler::is_usable(const worker_view& it) const {
-  return ruled_out_by(it) == nullptr;
+  return exclusion_reason(it) == nullptr;
 }
 
 bool fleet_scheduler::is_evacuated(const worker_view& it) const {
@@ -86,24 +86,25 @@
   return all;
 }
 
-bool fleet_scheduler::is_open(const worker_view& it) const {
+bool fleet_scheduler::has_open_call(const worker_view& it) const {
   return it.respond &&
-         clock_.now() - it.asked + it.delay < settings_.open_limit;
+         clock_.now() - it.asked + it.delay < settings_.open_call_limit;
 }
 
 /// Where the present plan may place tasks.
-std::vector<worker_view*> fleet_scheduler::places_now() {
+std::vector<worker_view*> fleet_scheduler::plan_candidates() {
   std::vector<worker_view*> all = candidates();
-  if (only_open_) std::erase_if(all, [&](auto* it) { return !is_open(*it); });
+  if (only_open_)
+    std::erase_if(all, [&](auto* it) { return !has_open_call(*it); });
   return all;
 }
 
 /// Workers whose call is held, those first that were heard last.
-std::vector<worker_view*> fleet_scheduler::open_places() {
+std::vector<worker_view*> fleet_scheduler::open_candidates() {
   std::vector<worker_view*> all =
-      workers_.marks().held_calls.last(settings_.most_open_places);
+      workers_.marks().held_calls.last(settings_.max_open_candidates);
   std::erase_if(all, [&](worker_view* it) {
-    if (!is_usable(*it) || !is_open(*it)) return true;
+    if (!is_usable(*it) || !has_open_call(*it)) return true;
     if (std::exchange(it->load_is_old, false)) it->load = load_of(*it);
     return false;
   });
@@ -111,37 +112,39 @@
 }
 
 /// True when nothing of a job that could run has run for long.
-bool fleet_scheduler::is_starved(const job_plan& plan) const {
+bool fleet_scheduler::is_starved(const job_tracking& plan) const {
   return plan.idle_since &&
          clock_.now() - *plan.idle_since >= settings_.starved_after;
 }
 
-fleet_scheduler::job_plan& fleet_scheduler::plan_of(job_number number) {
-  const auto [it, fresh] = plans_.try_emplace(number);
+fleet_scheduler::job_tracking& fleet_scheduler::tracking_of(job_number number) {
+  const auto [it, fresh] = tracked_jobs_.try_emplace(number);
   if (fresh) it->second.accepted = clock_.now();
   return it->second;
 }
 
-job_order fleet_scheduler::order_now(job_plan& plan, const job_entry& job) {
+job_order fleet_scheduler::order_now(job_tracking& plan, const job_entry& job) {
   const time_point now = clock_.now();
   job_order order = order_of(job, book_.queue_of(job), plan.accepted, now);
-  if (order.standing != job_standing::lasting) return order;
-  if (!plan.waits_since) plan.waits_since = now;
-  if (now - *plan.waits_since < settings_.lasting_first_after) return order;
-  order.deadline = *plan.waits_since;
+  if (order.standing != job_standing::long_running) return order;
+  if (!plan.pending_since) plan.pending_since = now;
+  if (now - *plan.pending_since < settings_.long_running_first_after)
+    return order;
+  order.deadline = *plan.pending_since;
   order.standing = job_standing::in_time;
   if (!was_interrupted(job)) return order;
-  order.standing = job_standing::pressing;
-  order.size = size_of(job);
+  order.standing = job_standing::interrupted;
+  order.size = smallest_task_cpu(job);
   return order;
 }
 
 /// Notes what the job's tasks do; true when a step of it is worth a try. Most
 /// live jobs have nothing to place: to look at each in full took half of the
 /// planning at 1,100 workers.
-bool fleet_scheduler::can_be_tried(job_number number, const job_entry& job) {
-  job_plan& plan = plan_of(number);
-  if (!std::exchange(plan.noted, true)) {
+bool fleet_scheduler::has_tasks_to_place(job_number number,
+                                         const job_entry& job) {
+  job_tracking& plan = tracking_of(number);
+  if (!std::exchange(plan.demand_recorded, true)) {
     short_demand_.note(job.spec, book_.queue_of(job).priority(), clock_.now());
   }
   bool runs = false;
@@ -159,13 +162,14 @@
       if (!time_is_due) continue;
       due = true;
       const task_key first{number, time, step, 0};
-      open = open ||
-             (book_.step_is_due(job, time, step) &&
-              (may_try(first) ||
-               may_fit_where_freed(job.spec.steps(static_cast<int>(step)))));
+      open =
+          open ||
+          (book_.step_is_due(job, time, step) &&
+           (retry_is_due(first) ||
+            may_fit_on_freed_worker(job.spec.steps(static_cast<int>(step)))));
     }
   }
-  if (!due) plan.waits_since.reset();
+  if (!due) plan.pending_since.reset();
   if (!waits) return false;
   if (runs) plan.idle_since.reset();
   if (!runs && !plan.idle_since) plan.idle_since = clock_.now();
@@ -176,8 +180,8 @@
   std::vector<waiting_job> jobs;
   for (const auto& [order, number] : book_.live()) {
     const job_entry& job = *book_.find(number);
-    if (!can_be_tried(number, job)) continue;
-    job_plan& plan = plan_of(number);
+    if (!has_tasks_to_place(number, job)) continue;
+    job_tracking& plan = tracking_of(number);
     jobs.push_back({order_now(plan, job), number, &job, is_starved(plan)});
   }
   std::stable_sort(jobs.begin(), jobs.end(), [](const auto& a, const auto& b) {
@@ -191,34 +195,34 @@
   stretch_percent_ = stretch_percent;
   only_open_ = stretch_percent > detail::percent;
   wall_ms_ = wall_ms;
-  wall_told_at_ = clock_.now();
+  wall_read_at_ = clock_.now();
   proposed_.clear();
   workers_.marks().proposing.review([this](worker_view& it) {
     for (const auto& [run, step] : it.proposed) proposed_[run.task] = it.id;
     return !it.proposed.empty();
   });
-  note_tries();
+  record_suspect_trials();
   fleet::run_starts out;
-  freed_ = take_freed();
-  open_.reset();
-  uses_.clear();
-  looks_left_ = settings_.most_plan_looks * detail::percent / stretch_percent;
+  freed_ = take_freed_workers();
+  open_workers_.reset();
+  pool_uses_.clear();
+  evaluations_left_ =
+      settings_.max_plan_evaluations * detail::percent / stretch_percent;
   cut_short_ = false;
   const std::vector<waiting_job> jobs = waiting_jobs();
   if (jobs.empty()) return out;
   // Filled by the first step that is tried.
   std::vector<worker_view*> all;
   for (const waiting_job& it : jobs) {
-    cut_short_ = looks_left_ == 0;
+    cut_short_ = evaluations_left_ == 0;
     if (cut_short_) return out;
     plan_job(it, all, out);
   }
   return out;
 }
 
-fleet_scheduler::step_to_place fleet_scheduler::place_of(const job_entry& job,
-                                                         const task_key& first,
-                                                         bool starved) {
+fleet_scheduler::pending_step fleet_scheduler::pending_step_of(
+    const job_entry& job, const task_key& first, bool starved) {
   const fleet::step_spec& spec = job.spec.steps(static_cast<int>(first.step));
   const fleet::queue_route& queue = book_.queue_of(job);
   return {spec,
@@ -227,7 +231,7 @@
           model_.id_of(spec.image()),
           starved,
           queue.priority(),
-          spec.long_running() && has_interrupted(first)};
+          spec.long_running() && has_interrupted_tasks(first)};
 }
 
 void fleet_scheduler::plan_job(const waiting_job& job,
@@ -249,7 +253,7 @@
   return proposed_.contains(task);
 }
 
-int64_t fleet_scheduler::left_over(const worker_view& it) const {
+int64_t fleet_scheduler::expected_free_cpu(const worker_view& it) const {
   const auto use = [&](uint64_t cpu, unsigned share) {
     return static_cast<int64_t>(cpu * share / detail::percent);
   };
@@ -262,47 +266,50 @@
 /// Room that is kept counts, unless for the step itself or a less urgent one:
 /// else an urgent task would wait beside what lies idle.
 bool fleet_scheduler::fits(const worker_view& it,
-                           const step_to_place& step) const {
+                           const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
   const fleet::worker_beat& room = it.beat;
-  gain taken{it.load.cpu + spec.cpu_milli(),
-             it.load.memory_mb + spec.memory_mb(),
-             it.load.accelerators + spec.accelerators()};
+  resources taken{it.load.cpu + spec.cpu_milli(),
+                  it.load.memory_mb + spec.memory_mb(),
+                  it.load.accelerators + spec.accelerators()};
   const auto has_room = [&] {
     return taken.memory_mb <= room.memory_mb() &&
            taken.accelerators <= room.accelerators() &&
            (spec.fills() || taken.cpu <= room.cpu_milli());
   };
-  if (!has_room() || is_trying(it, step)) return false;
+  if (!has_room() || is_testing(it, step)) return false;
   // A task that crashed the life before would crash this one, before it shows
   // that the other is over.
-  if (workers_.is_unsettled(it) && has_interrupted(step.first)) return false;
+  if (workers_.is_unsettled(it) && has_interrupted_tasks(step.first))
+    return false;
   for (const kept_room& kept : it.kept) {
-    if (kept.step == step.first || !binds(kept, step.priority)) continue;
+    if (kept.step == step.first || !blocks(kept, step.priority)) continue;
     taken.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
   if (!has_room()) return false;
   if (!spec.fills()) return true;
-  return step.starved || bears(it, step);
+  return step.starved || allows_backfill(it, step);
 }
 
 /// True where a fill task would get on.
-bool fleet_scheduler::bears(const worker_view& it,
-                            const step_to_place& step) const {
+bool fleet_scheduler::allows_backfill(const worker_view& it,
+                                      const pending_step& step) const {
   const auto unfit = it.unfit_until.find(step.image);
   if (unfit != it.unfit_until.end() && unfit->second > clock_.now()) {
     return false;
   }
-  const auto wanted = static_cast<int64_t>(
-      step.spec.cpu_milli() * settings_.fill_share_percent / detail::percent);
-  return left_over(it) >= wanted &&
+  const auto wanted = static_cast<int64_t>(step.spec.cpu_milli() *
+                                           settings_.min_backfill_cpu_percent /
+                                           detail::percent);
+  return expected_free_cpu(it) >= wanted &&
          expected_share(it, step) * detail::percent >=
-             settings_.least_pace_percent;
+             settings_.min_backfill_pace_percent;
 }
 
 /// 1 on a worker that serves only with this image, 0 on one that does not
 /// serve, and less than 0 the more it serves with others.
-double fleet_scheduler::alike(const worker_view& it, image_id image) const {
+double fleet_scheduler::image_affinity(const worker_view& it,
+                                       image_id image) const {
   uint32_t same = 0;
   uint32_t all = 0;
   for (const auto& [other, n] : it.load.serving) {
@@ -314,24 +321,24 @@
 }
 
 double fleet_scheduler::score(const worker_view& it,
-                              const step_to_place& step) const {
+                              const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
-  double score = static_cast<double>(left_over(it));
+  double score = static_cast<double>(expected_free_cpu(it));
   score -= detail::crowd_cost * it.load.of_step(step.first);
   const std::string& rack = spec.affinity_rack();
   if (!rack.empty() && has_label(it.beat, rack)) score += detail::rack_bonus;
   if (spec.fills()) {
     const double share = expected_share(it, step);
     score *= share;
-    const bool anywhere = share >= 1 && !bears_all(it);
+    const bool anywhere = share >= 1 && !tolerates_backfill(it);
     if (anywhere) score += detail::spared_cost;
-  } else if (spec.target_ms() <= 0 && bears_all(it)) {
+  } else if (spec.target_ms() <= 0 && tolerates_backfill(it)) {
     score -= detail::spared_cost;
   }
   if (is_cold(it)) score -= detail::cold_cost;
-  if (step.urgent && !calls_soon(it)) score -= detail::late_call_cost;
+  if (step.urgent && !calls_or_due_soon(it)) score -= detail::late_call_cost;
   if (spec.target_ms() > 0) {
-    score += detail::image_bonus * alike(it, step.image);
+    score += detail::image_bonus * image_affinity(it, step.image);
   }
   return score;
 }
@@ -345,22 +352,22 @@
 
 /// True where an order would go out at once, or nearly so. One whose call is
 /// late may be lost.
-bool fleet_scheduler::calls_soon(const worker_view& it) const {
-  if (it.respond) return is_open(it);
+bool fleet_scheduler::calls_or_due_soon(const worker_view& it) const {
+  if (it.respond) return has_open_call(it);
   const milliseconds left = it.call_due - clock_.now();
   return -detail::soon <= left && left <= detail::soon;
 }
 
 /// How well a task would stand on a worker; none where it must not run.
-std::optional<double> fleet_scheduler::value_of(const step_to_place& step,
-                                                const worker_view& it) const {
-  if (!fits(it, step) || !may_carry(it, step)) return std::nullopt;
+std::optional<double> fleet_scheduler::score_if_allowed(
+    const pending_step& step, const worker_view& it) const {
+  if (!fits(it, step) || !meets_constraints(it, step)) return std::nullopt;
   return score(it, step);
 }
 
 /// True when nothing but room may bar a task of the step from the worker.
-bool fleet_scheduler::may_carry(const worker_view& it,
-                                const step_to_place& step) const {
+bool fleet_scheduler::meets_constraints(const worker_view& it,
+                                        const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
   if (it.beat.pool() != step.pool) return false;
   const std::string& label = spec.requires_label();
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -37,7 +37,7 @@
   /// and a turn take.
   fleet::run_starts plan(uint64_t wall_ms, unsigned stretch_percent = 100);
   /// True when the worker's call waits for an answer that it will still take.
-  bool is_open(const worker_view& it) const;
+  bool has_open_call(const worker_view& it) const;
   /// True when the last plan left steps to the next one.
   bool cut_short() const { return cut_short_; }
   /// Runs of fill tasks that are held back hard where they are, and could work
@@ -54,32 +54,32 @@
     run_key run;
     task_key step;
   };
-  struct rooms_made {
+  struct reservation_result {
     // Rooms that are kept, those among them that are new, tasks for which there
     // is none, and tasks of steps that were not looked at for a while.
     size_t all = 0;
-    size_t kept = 0;
+    size_t added = 0;
     size_t without = 0;
     size_t left_alone = 0;
     // Workers that were looked at in full.
-    size_t looks = 0;
+    size_t workers_examined = 0;
     std::vector<eviction> evictions;
   };
   /// Keeps room for lasting tasks that have waited too long, and tells which
   /// runs are to be stopped for it; `stopping` are being stopped already.
-  rooms_made keep_rooms(const std::set<run_key>& stopping);
+  reservation_result reserve_capacity(const std::set<run_key>& stopping);
   /// Logs what stands in the way of lasting tasks that have waited for more
   /// than a second: once a second, and for a few steps at most.
   void report_waits();
   /// How often a worker was looked at for a task since the last call.
-  uint64_t take_looks() { return std::exchange(looks_, 0); }
+  uint64_t take_worker_evaluations() { return std::exchange(evaluations_, 0); }
 
   /// True for a task of which a start is proposed and not yet in the book.
   bool is_proposed(const task_key& task) const;
 
  private:
   /// A step whose tasks are being placed.
-  struct step_to_place {
+  struct pending_step {
     const fleet::step_spec& spec;
     const std::string& pool;
     task_key first;
@@ -97,7 +97,7 @@
     double tail_share;
     double load;
   };
-  struct fill_task {
+  struct backfill_task {
     run_key run;
     const fleet::step_spec* step;
     image_id image;
@@ -119,14 +119,14 @@
     worker_view* where;
   };
   /// What is kept of a live job beside the book.
-  struct job_plan {
+  struct job_tracking {
     time_point accepted;
     // Since when a lasting job has had tasks that wait.
-    std::optional<time_point> waits_since;
+    std::optional<time_point> pending_since;
     // Since when it waits without anything running.
     std::optional<time_point> idle_since;
     // Its work is counted in what short jobs ask for.
-    bool noted = false;
+    bool demand_recorded = false;
   };
 
   /// The processors of a pool's usable workers, and of what lasts there.
@@ -137,41 +137,41 @@
   };
 
   /// What would come free on a worker if some of its runs gave way.
-  struct gain {
+  struct resources {
     uint64_t cpu = 0;
     uint64_t memory_mb = 0;
     uint64_t accelerators = 0;
 
-    void add(const gain& it);
-    void take(const gain& it);
-    bool covers(const gain& need) const;
+    void add(const resources& it);
+    void take(const resources& it);
+    bool covers(const resources& need) const;
   };
   /// How a run there may come to its end: in how long, and at what loss.
-  struct way_out {
+  struct release_option {
     run_key run;
-    gain more;
+    resources more;
     double seconds;
     double cost;
     bool stop;
   };
-  struct worker_ways {
+  struct worker_releases {
     worker_view* where;
-    std::vector<way_out> ways;
+    std::vector<release_option> ways;
     // What all of them would leave.
-    gain most;
+    resources most;
   };
-  using chosen_ways = std::vector<const way_out*>;
-  using ways_by_priority = std::map<uint32_t, std::vector<worker_ways>>;
+  using chosen_releases = std::vector<const release_option*>;
+  using releases_by_priority = std::map<uint32_t, std::vector<worker_releases>>;
   /// Room that can be made at a worker: in how long, at what cost in all, and
   /// by which stops.
-  struct opening {
+  struct reservation_plan {
     worker_view* where;
     double seconds;
     double cost;
     std::vector<run_key> stops;
   };
   /// A step with lasting tasks that wait.
-  struct long_wait {
+  struct delayed_step {
     uint32_t priority;
     time_point since;
     task_key first;
@@ -182,32 +182,32 @@
   };
   /// One look for rooms: what is being stopped, how each worker's runs may end,
   /// and how often all workers were looked at.
-  struct room_look {
+  struct reservation_round {
     std::set<run_key> stopping;
-    ways_by_priority ways;
+    releases_by_priority ways;
     size_t most = 0;
     // Choices made, and how many may be.
     size_t choices = 0;
     size_t most_choices = 0;
     // How long it takes until each wait had its turn.
     milliseconds round{0};
-    rooms_made made;
+    reservation_result made;
   };
   /// A room among those of a worker.
-  struct room_place {
+  struct reservation_ref {
     worker_view* where;
     size_t at;
   };
   /// What would come free at one worker without what does not last there.
-  struct yielding {
+  struct reclaimable {
     worker_view* where;
-    gain fills;
-    gain lesser;
-    gain same;
+    resources fills;
+    resources lesser;
+    resources same;
   };
 
   /// Workers that have room, or would without what does not last there.
-  struct places {
+  struct fit_counts {
     uint64_t usable = 0;
     uint64_t barred = 0;
     uint64_t fit = 0;
@@ -221,130 +221,137 @@
   };
 
   std::vector<waiting_job> waiting_jobs();
-  job_plan& plan_of(job_number number);
-  bool can_be_tried(job_number number, const job_entry& job);
+  job_tracking& tracking_of(job_number number);
+  bool has_tasks_to_place(job_number number, const job_entry& job);
   std::vector<worker_view*> candidates();
-  std::vector<worker_view*> places_now();
-  std::vector<worker_view*> open_places();
+  std::vector<worker_view*> plan_candidates();
+  std::vector<worker_view*> open_candidates();
   bool is_usable(const worker_view& it) const;
   bool is_evacuated(const worker_view& it) const;
   bool is_cold(const worker_view& it) const;
-  bool calls_soon(const worker_view& it) const;
-  step_to_place place_of(const job_entry& job, const task_key& first,
-                         bool starved);
+  bool calls_or_due_soon(const worker_view& it) const;
+  pending_step pending_step_of(const job_entry& job, const task_key& first,
+                               bool starved);
   void plan_job(const waiting_job& job, std::vector<worker_view*>& all,
                 fleet::run_starts& out);
   void plan_step(const waiting_job& job, uint32_t time, uint32_t step,
                  std::vector<worker_view*>& all, fleet::run_starts& out);
   size_t count_proposed(const task_key& first) const;
-  size_t place_where_open(const waiting_job& job, const step_to_place& step,
-                          size_t wanted, fleet::run_starts& out);
-  void take_back(const std::vector<placement>& placed);
-  void start(const std::vector<placement>& placed, const step_to_place& step,
+  size_t place_on_open_workers(const waiting_job& job, const pending_step& step,
+                               size_t wanted, fleet::run_starts& out);
+  void cancel_placements(const std::vector<placement>& placed);
+  void start(const std::vector<placement>& placed, const pending_step& step,
              fleet::run_starts& out);
   std::vector<placement> place_tasks(const waiting_job& job,
-                                     const step_to_place& step,
+                                     const pending_step& step,
                                      std::vector<worker_view*>& all);
   /// Workers by how well a task would stand there; of two alike the first.
   using ranked = std::pair<double, std::ptrdiff_t>;
   using ranking = std::priority_queue<ranked>;
-  ranking rank(const step_to_place& step, const std::vector<worker_view*>& all);
+  ranking rank(const pending_step& step, const std::vector<worker_view*>& all);
   static std::optional<size_t> take_best(ranking& best,
-                                         const step_to_place& step,
+                                         const pending_step& step,
                                          const std::vector<worker_view*>& all);
   static run_number last_run(const step_entry& step);
-  static std::vector<uint32_t> turns_of(const step_entry& step);
+  static std::vector<uint32_t> placement_order(const step_entry& step);
   // Tasks under which a worker crashed: suspects.cc.
-  bool has_unproven(const worker_view& it) const;
-  void note_tries();
-  void note_try(const worker_id& id, const task_key& task);
-  bool has_interrupted(const task_key& first) const;
-  bool awaits_fate(const task_key& key, const task_entry& task) const;
-  static bool is_trying(const worker_view& it, const step_to_place& step);
-  std::optional<double> value_for_suspect(const step_to_place& step,
+  bool has_unproven_run(const worker_view& it) const;
+  void record_suspect_trials();
+  void record_suspect_trial(const worker_id& id, const task_key& task);
+  bool has_interrupted_tasks(const task_key& first) const;
+  bool awaits_evidence(const task_key& key, const task_entry& task) const;
+  static bool is_testing(const worker_view& it, const pending_step& step);
+  std::optional<double> score_for_suspect(const pending_step& step,
                                           const worker_view& it,
                                           std::optional<double> least) const;
-  std::optional<size_t> place_for_suspect(const step_to_place& step,
-                                          const std::vector<worker_view*>& all);
-  pool_use& use_of(const std::string& pool);
-  uint64_t room_for_fresh(const std::string& pool, uint32_t priority,
-                          const job_plan& plan);
-  std::optional<double> value_of(const step_to_place& step,
-                                 const worker_view& it) const;
-  bool is_starved(const job_plan& plan) const;
-  job_order order_now(job_plan& plan, const job_entry& job);
-  bool may_try(const task_key& step) const;
-  std::vector<worker_view*> take_freed();
-  void count_looks(uint64_t n);
+  std::optional<size_t> worker_for_suspect(
+      const pending_step& step, const std::vector<worker_view*>& all);
+  pool_use& pool_use_of(const std::string& pool);
+  uint64_t new_task_capacity(const std::string& pool, uint32_t priority,
+                             const job_tracking& plan);
+  std::optional<double> score_if_allowed(const pending_step& step,
+                                         const worker_view& it) const;
+  bool is_starved(const job_tracking& plan) const;
+  job_order order_now(job_tracking& plan, const job_entry& job);
+  bool retry_is_due(const task_key& step) const;
+  std::vector<worker_view*> take_freed_workers();
+  void count_evaluations(uint64_t n);
   milliseconds retry_pause(size_t workers, bool lasts) const;
-  bool may_fit_where_freed(const fleet::step_spec& spec) const;
-  bool fits_where_freed(const job_entry& job, const task_key& first);
-  bool fits(const worker_view& it, const step_to_place& step) const;
-  bool bears(const worker_view& it, const step_to_place& step) const;
-  double score(const worker_view& it, const step_to_place& step) const;
-  double alike(const worker_view& it, image_id image) const;
-  int64_t left_over(const worker_view& it) const;
+  bool may_fit_on_freed_worker(const fleet::step_spec& spec) const;
+  bool fits_on_freed_worker(const job_entry& job, const task_key& first);
+  bool fits(const worker_view& it, const pending_step& step) const;
+  bool allows_backfill(const worker_view& it, const pending_step& step) const;
+  double score(const worker_view& it, const pending_step& step) const;
+  double image_affinity(const worker_view& it, image_id image) const;
+  int64_t expected_free_cpu(const worker_view& it) const;
   // Pacing: pacing.cc.
   std::vector<serving_task> serving_tasks(const worker_view& it);
-  std::vector<fill_task> fill_tasks(const worker_view& it);
-  void learn(worker_view& it, const serving_task& task,
-             const std::vector<image_use>& use);
-  void hold_back(const worker_view& it, const serving_task& task,
-                 std::vector<fill_task>& fills);
+  std::vector<backfill_task> backfill_tasks(const worker_view& it);
+  void update_model(worker_view& it, const serving_task& task,
+                    const std::vector<image_use>& use);
+  void throttle_backfill(const worker_view& it, const serving_task& task,
+                         std::vector<backfill_task>& fills);
   double added(image_id serving, const std::vector<image_use>& use) const;
   double own_load(const task_key& serving, milliseconds ahead) const;
-  void guard(worker_view& it, const std::vector<serving_task>& serving,
-             std::vector<fill_task>& fills);
-  void note_held(worker_view& it, const std::vector<fill_task>& fills);
+  void enforce_targets(worker_view& it,
+                       const std::vector<serving_task>& serving,
+                       std::vector<backfill_task>& fills);
+  void mark_throttled(worker_view& it, const std::vector<backfill_task>& fills);
   bool may_move(const worker_view& it, const run_key& run) const;
-  worker_view* better_place(const worker_view& from, const run_key& run,
-                            const std::vector<worker_view*>& all);
-  bool bears_all(const worker_view& it) const;
-  double expected_share(const worker_view& it, const step_to_place& step) const;
+  worker_view* find_better_worker(const worker_view& from, const run_key& run,
+                                  const std::vector<worker_view*>& all);
+  bool tolerates_backfill(const worker_view& it) const;
+  double expected_share(const worker_view& it, const pending_step& step) const;
   // Lasting tasks that wait: waits.cc.
   std::optional<time_point> due_since(const job_entry& job,
                                       uint32_t time) const;
   uint32_t unplaced(const task_key& first, bool fresh_too) const;
-  std::vector<long_wait> long_waits(milliseconds least);
-  void add_waits(const job_entry& job, const task_key& first, time_point since,
-                 std::vector<long_wait>& out) const;
-  std::vector<yielding> yielding_to(uint32_t priority);
-  places count_places(const step_to_place& step,
-                      const std::vector<yielding>& workers) const;
-  void report_wait(const step_to_place& step, uint64_t tasks,
-                   milliseconds waited, const std::vector<yielding>& workers);
-  const char* ruled_out_by(const worker_view& it) const;
+  std::vector<delayed_step> delayed_steps(milliseconds least);
+  void add_delayed_steps(const job_entry& job, const task_key& first,
+                         time_point since,
+                         std::vector<delayed_step>& out) const;
+  std::vector<reclaimable> reclaimable_for(uint32_t priority);
+  fit_counts count_fits(const pending_step& step,
+                        const std::vector<reclaimable>& workers) const;
+  void report_wait(const pending_step& step, uint64_t tasks,
+                   milliseconds waited,
+                   const std::vector<reclaimable>& workers);
+  const char* exclusion_reason(const worker_view& it) const;
   void report_processors();
   void report_late_start(const placement& it, bool lasts);
-  void report_if_barred(const step_to_place& step,
+  void report_if_barred(const pending_step& step,
                         const std::vector<worker_view*>& usable);
-  bool may_carry(const worker_view& it, const step_to_place& step) const;
+  bool meets_constraints(const worker_view& it, const pending_step& step) const;
   // Room kept for them: kept-rooms.cc.
-  bool may_yield(const run_key& run, uint32_t priority) const;
-  double cost_of_stop(const worker_view& it, const run_key& run) const;
+  bool may_evict(const run_key& run, uint32_t priority) const;
+  double eviction_cost(const worker_view& it, const run_key& run) const;
   uint32_t priority_of(const task_key& step) const;
-  bool binds(const kept_room& kept, uint32_t priority) const;
-  gain shortage(const worker_view& it, const step_to_place& step) const;
-  std::vector<way_out> ways_out(const worker_view& it, uint32_t priority,
-                                const std::set<run_key>& stopping) const;
-  std::vector<worker_ways> all_ways(uint32_t priority,
-                                    const std::set<run_key>& stopping);
-  static std::optional<chosen_ways> enough_ways(
-      const gain& need, const std::vector<way_out>& ways, milliseconds limit);
-  std::optional<opening> open_up(const worker_ways& worker, const gain& need,
-                                 const step_to_place& step,
-                                 milliseconds limit) const;
-  std::optional<opening> best_opening(const step_to_place& step,
-                                      std::vector<worker_ways>& workers,
-                                      milliseconds limit, size_t& looks) const;
-  void keep_room(const opening& it, const step_to_place& step,
-                 std::vector<worker_ways>& workers, room_look& look);
-  std::optional<room_place> lesser_room(uint32_t priority);
-  void drop_lesser_rooms(worker_view& where, uint32_t priority,
-                         room_look& look);
-  size_t drop_rooms();
-  void release_room(worker_view& where, const task_key& step);
-  void keep_for(const long_wait& wait, uint32_t& have, room_look& look);
+  bool blocks(const kept_room& kept, uint32_t priority) const;
+  resources shortage(const worker_view& it, const pending_step& step) const;
+  std::vector<release_option> release_options(
+      const worker_view& it, uint32_t priority,
+      const std::set<run_key>& stopping) const;
+  std::vector<worker_releases> all_releases(uint32_t priority,
+                                            const std::set<run_key>& stopping);
+  static std::optional<chosen_releases> choose_releases(
+      const resources& need, const std::vector<release_option>& ways,
+      milliseconds limit);
+  std::optional<reservation_plan> plan_reservation(
+      const worker_releases& worker, const resources& need,
+      const pending_step& step, milliseconds limit) const;
+  std::optional<reservation_plan> best_plan(
+      const pending_step& step, std::vector<worker_releases>& workers,
+      milliseconds limit, size_t& looks) const;
+  void add_reservation(const reservation_plan& it, const pending_step& step,
+                       std::vector<worker_releases>& workers,
+                       reservation_round& look);
+  std::optional<reservation_ref> find_less_urgent(uint32_t priority);
+  void drop_less_urgent(worker_view& where, uint32_t priority,
+                        reservation_round& look);
+  size_t drop_stale();
+  void release_reservation(worker_view& where, const task_key& step);
+  void reserve_for_step(const delayed_step& wait, uint32_t& have,
+                        reservation_round& look);
 
   scheduler_settings settings_;
   const job_book& book_;
@@ -353,42 +360,42 @@
   interference_model model_;
   short_demand short_demand_;
   // By pool, as of the present plan or look.
-  std::map<std::string, pool_use> uses_;
+  std::map<std::string, pool_use> pool_uses_;
   // Of serving steps, by the key of their first task.
   std::map<task_key, load_forecast> forecasts_;
-  std::unordered_map<job_number, job_plan> plans_;
+  std::unordered_map<job_number, job_tracking> tracked_jobs_;
   // Steps of which it was told that only evacuated workers could carry them.
-  std::set<task_key> barred_told_;
+  std::set<task_key> reported_barred_;
   // When a step that found no room is tried again, by its first task.
-  std::map<task_key, time_point> try_again_;
+  std::map<task_key, time_point> retry_at_;
   // Until when a step is left alone for which no room could be made.
-  std::map<task_key, time_point> no_opening_until_;
+  std::map<task_key, time_point> no_reservation_until_;
   // Workers where runs ended since the last plan.
   std::vector<worker_view*> freed_;
   // The most that any of them has free of each kind.
-  gain freed_most_;
+  resources freed_max_;
   // Workers whose call is held, as of the present plan; filled by the first
   // step that is tried there.
-  std::optional<std::vector<worker_view*>> open_;
+  std::optional<std::vector<worker_view*>> open_workers_;
   // Looks that the present plan may still make.
-  uint64_t looks_left_ = 0;
+  uint64_t evaluations_left_ = 0;
   bool cut_short_ = false;
   // Workers that were looked at for suspects: the next look goes on from there.
-  size_t suspect_looks_ = 0;
+  size_t suspect_scan_offset_ = 0;
   bool only_open_ = false;
   unsigned stretch_percent_ = 100;
   // Tasks whose start is proposed and not yet in the book.
   std::map<task_key, worker_id> proposed_;
   // Workers on which suspects are being tried.
-  std::vector<worker_id> trying_;
+  std::vector<worker_id> suspect_workers_;
   time_point waits_reported_at_{};
-  time_point rooms_kept_at_{};
+  time_point reserved_at_{};
   // The time of day, and when it was told.
   uint64_t wall_ms_ = 0;
-  time_point wall_told_at_{};
+  time_point wall_read_at_{};
   // Where the last look for runs to move ended: the worker's ordinal.
-  uint64_t moves_from_ = 0;
-  uint64_t looks_ = 0;
+  uint64_t last_move_ordinal_ = 0;
+  uint64_t evaluations_ = 0;
 };
 
 /// True when the worker bears the label.
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -22,7 +22,7 @@
 }  // namespace detail
 
 /// True when a run there may still turn out to crash the worker.
-bool fleet_scheduler::has_unproven(const worker_view& it) const {
+bool fleet_scheduler::has_unproven_run(const worker_view& it) const {
   if (!it.proposed.empty()) return true;
   const auto& runs = book_.runs_on(it.id);
   return std::any_of(runs.begin(), runs.end(), [&](const run_key& run) {
@@ -32,11 +32,11 @@
 }
 
 /// Notes the workers on which a suspect was started and is not listed yet.
-void fleet_scheduler::note_tries() {
-  for (const worker_id& id : trying_) {
+void fleet_scheduler::record_suspect_trials() {
+  for (const worker_id& id : suspect_workers_) {
     if (worker_view* it = workers_.find(id)) it->tries.reset();
   }
-  trying_.clear();
+  suspect_workers_.clear();
   for (const task_key& suspect : book_.suspects()) {
     const fleet::step_spec* step = book_.find_step(suspect);
     if (step == nullptr) continue;
@@ -48,25 +48,27 @@
       task.index = i;
       const auto proposed = proposed_.find(task);
       if (proposed != proposed_.end()) {
-        note_try(proposed->second, task);
+        record_suspect_trial(proposed->second, task);
       } else if (tasks[i].phase == task_phase::running) {
         worker_view* it = workers_.find(tasks[i].worker);
         const run_key run{task, tasks[i].run};
-        if (it != nullptr && !it->rows.contains(run)) note_try(it->id, task);
+        if (it != nullptr && !it->rows.contains(run))
+          record_suspect_trial(it->id, task);
       }
     }
   }
 }
 
-void fleet_scheduler::note_try(const worker_id& id, const task_key& task) {
+void fleet_scheduler::record_suspect_trial(const worker_id& id,
+                                           const task_key& task) {
   worker_view* it = workers_.find(id);
   if (it == nullptr) return;
   it->tries = {task.job, task.time, task.step, 0};
-  trying_.push_back(id);
+  suspect_workers_.push_back(id);
 }
 
 /// True when a task of the step that waits had begun before.
-bool fleet_scheduler::has_interrupted(const task_key& first) const {
+bool fleet_scheduler::has_interrupted_tasks(const task_key& first) const {
   const auto& tasks =
       book_.find(first.job)->times[first.time][first.step].tasks;
   return std::any_of(tasks.begin(), tasks.end(), is_interrupted);
@@ -74,30 +76,30 @@
 
 /// True while the suspect's last worker is silent and may just be about to show
 /// that it crashed: another crash might be enough.
-bool fleet_scheduler::awaits_fate(const task_key& key,
-                                  const task_entry& task) const {
+bool fleet_scheduler::awaits_evidence(const task_key& key,
+                                      const task_entry& task) const {
   const worker_view* it = workers_.find(task.worker);
   return it != nullptr && it->lapsed.contains({key, task.run}) &&
          clock_.now() < it->over_at + detail::fate_wait;
 }
 
 /// True where a suspect is being tried, unless both are of one gang.
-bool fleet_scheduler::is_trying(const worker_view& it,
-                                const step_to_place& step) {
+bool fleet_scheduler::is_testing(const worker_view& it,
+                                 const pending_step& step) {
   return it.tries && !(step.spec.gang() && *it.tries == step.first);
 }
 
 /// How well a suspect would stand on a worker; none where it must not run, or
 /// where that is no better than `least`.
-std::optional<double> fleet_scheduler::value_for_suspect(
-    const step_to_place& step, const worker_view& it,
+std::optional<double> fleet_scheduler::score_for_suspect(
+    const pending_step& step, const worker_view& it,
     std::optional<double> least) const {
-  auto value = value_of(step, it);
+  auto value = score_if_allowed(step, it);
   if (!value) return std::nullopt;
   *value -= detail::company_cost * static_cast<double>(it.rows.size());
   // What runs there is looked at only where it may decide.
   if (least && *value <= *least) return std::nullopt;
-  if (has_unproven(it) && it.tries != step.first) {
+  if (has_unproven_run(it) && it.tries != step.first) {
     *value -= detail::unproven_cost;
   }
   if (least && *value <= *least) return std::nullopt;
@@ -107,21 +109,21 @@
 /// Which worker is a good one for a suspect, if any may take it. After a crash
 /// of many workers there are suspects as many as these: each looks at some, in
 /// turn.
-std::optional<size_t> fleet_scheduler::place_for_suspect(
-    const step_to_place& step, const std::vector<worker_view*>& all) {
+std::optional<size_t> fleet_scheduler::worker_for_suspect(
+    const pending_step& step, const std::vector<worker_view*>& all) {
   std::optional<size_t> best;
   std::optional<double> most;
   size_t looks = 0;
   for (; looks < all.size() && (!best || looks < detail::enough_looks);
        ++looks) {
-    const size_t i = (suspect_looks_ + looks) % all.size();
-    const auto value = value_for_suspect(step, *all[i], most);
+    const size_t i = (suspect_scan_offset_ + looks) % all.size();
+    const auto value = score_for_suspect(step, *all[i], most);
     if (!value) continue;
     best = i;
     most = value;
   }
-  suspect_looks_ += looks;
-  count_looks(looks);
+  suspect_scan_offset_ += looks;
+  count_evaluations(looks);
   return best;
 }
 
--- a/support/emulator/main.cc
+++ b/support/emulator/main.cc
@@ -35,7 +35,7 @@
   if (way == "kept") return true;
   constexpr std::string_view prefix = "rate-";
   if (!way.starts_with(prefix)) return false;
-  settings.target_cores = std::stod(way.substr(prefix.size()));
+  settings.max_backfill_loss_cores = std::stod(way.substr(prefix.size()));
   return true;
 }
 
