--- a/fleet/delayed-steps.cc
+++ b/fleet/delayed-steps.cc
@@ -1,4 +1,4 @@
-// Lasting tasks that wait: what stands in their way.
+// Finds long-running tasks that are pending for too long and logs why.
 #include <algorithm>
 #include <map>
 #include <tuple>
@@ -10,17 +10,17 @@
 namespace detail {
 
 constexpr const char* service_name = "scheduler";
-/// A lasting task that waited for less is not told of.
+/// Waits below this are not logged.
 constexpr milliseconds report_after{1'000};
 constexpr milliseconds report_every{1'000};
-/// Steps told of at a time: a line costs 1 us for each worker, what may give
-/// way some 6 us more, once for all lines.
-constexpr size_t most_reports = 8;
+/// Steps logged per report: a line costs 1 us for each worker, and the
+/// reclaimable capacity some 6 us more, once for all lines.
+constexpr size_t max_reports = 8;
 
 }  // namespace detail
 
-/// Since when the tasks of that time may run, none if they may not yet; from
-/// the beginning in jobs that are not due at a time.
+/// Since when the tasks of the `time`-th repetition may run; none if they are
+/// not due yet. Jobs without a start time are due from the beginning.
 std::optional<time_point> fleet_scheduler::due_since(const job_entry& job,
                                                      uint32_t time) const {
   const fleet::fleet_job_spec& spec = job.spec;
@@ -30,10 +30,10 @@
   return wall_read_at_ - milliseconds(wall_ms_ - due);
 }
 
-/// Tasks of the step that wait and are not proposed anywhere; those that had
-/// begun before, or all.
+/// Number of the step's pending tasks without a proposed start: only the
+/// interrupted ones, or all with `include_new`.
 uint32_t fleet_scheduler::unplaced(const task_key& first,
-                                   bool fresh_too) const {
+                                   bool include_new) const {
   const job_entry* job = book_.find(first.job);
   if (job == nullptr || !job->live()) return 0;
   const auto& tasks = job->times[first.time][first.step].tasks;
@@ -41,12 +41,12 @@
   for (uint32_t i = 0; i < tasks.size(); ++i) {
     const task_key key{first.job, first.time, first.step, i};
     if (tasks[i].phase != task_phase::waiting || is_proposed(key)) continue;
-    if (fresh_too || is_interrupted(tasks[i])) ++n;
+    if (include_new || is_interrupted(tasks[i])) ++n;
   }
   return n;
 }
 
-/// The step's waits, those of tasks that had begun before apart.
+/// Adds one entry for interrupted tasks and one that also counts new ones.
 void fleet_scheduler::add_delayed_steps(const job_entry& job,
                                         const task_key& first, time_point since,
                                         std::vector<delayed_step>& out) const {
@@ -54,59 +54,64 @@
   if (!spec.long_running() || spec.gang()) return;
   if (!book_.step_is_due(job, first.time, first.step)) return;
   const uint32_t priority = book_.queue_of(job).priority();
-  const uint32_t begun = unplaced(first, false);
+  const uint32_t interrupted = unplaced(first, false);
   const uint32_t all = unplaced(first, true);
-  if (begun > 0) {
-    out.push_back({priority, since, first, begun, spec.cpu_milli(), false});
+  if (interrupted > 0) {
+    out.push_back(
+        {priority, since, first, interrupted, spec.cpu_milli(), false});
   }
-  // New ones may wait longer: a processor is worth more to short jobs.
-  if (all > begun && clock_.now() - since >= settings_.reserve_new_after) {
+  // New tasks may wait longer: short jobs earn more with a processor.
+  if (all > interrupted &&
+      clock_.now() - since >= settings_.reserve_new_after) {
     out.push_back({priority, since, first, all, spec.cpu_milli(), true});
   }
 }
 
-/// Steps with lasting tasks that have waited too long since they were due, the
-/// most urgent first. Of these those that had begun before, the small ones
-/// before others: where there isn't room for all, what served goes on, and more
-/// tasks serve.
+/// Steps whose long-running tasks have been pending for `min_wait` since they
+/// were due, ordered by priority, then interrupted tasks before new ones, then
+/// smaller tasks first: if capacity is short, interrupted services resume and
+/// more tasks serve.
 std::vector<fleet_scheduler::delayed_step> fleet_scheduler::delayed_steps(
-    milliseconds least) {
+    milliseconds min_wait) {
   std::vector<delayed_step> out;
   const time_point now = clock_.now();
   for (const auto& [order, number] : book_.live()) {
-    const auto plan = tracked_jobs_.find(number);
-    if (plan == tracked_jobs_.end() || !plan->second.pending_since) continue;
+    const auto tracking = tracked_jobs_.find(number);
+    if (tracking == tracked_jobs_.end() || !tracking->second.pending_since)
+      continue;
     const job_entry& job = *book_.find(number);
     for (uint32_t time = 0; time < job.times.size(); ++time) {
       const auto due = due_since(job, time);
       if (!due) break;
-      const time_point since = std::max(*plan->second.pending_since, *due);
-      if (now - since < least) break;
+      const time_point since = std::max(*tracking->second.pending_since, *due);
+      if (now - since < min_wait) break;
       for (uint32_t step = 0; step < job.times[time].size(); ++step) {
         add_delayed_steps(job, {number, time, step, 0}, since, out);
       }
     }
   }
   std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
-    return std::tie(a.priority, a.fresh, a.cpu, a.since) <
-           std::tie(b.priority, b.fresh, b.cpu, b.since);
+    return std::tie(a.priority, a.never_started, a.cpu, a.since) <
+           std::tie(b.priority, b.never_started, b.cpu, b.since);
   });
   return out;
 }
 
-/// The usable workers, and what their runs that don't last would leave: fill
-/// tasks, those less urgent than that priority, and those as urgent.
+/// Capacity held on each usable worker by runs that are not long-running, by
+/// kind: backfill, less urgent than `priority`, and all others.
 std::vector<fleet_scheduler::reclaimable> fleet_scheduler::reclaimable_for(
     uint32_t priority) {
   std::vector<reclaimable> out;
   for (worker_view* it : candidates()) {
-    reclaimable& to = out.emplace_back(reclaimable{it, {}, {}, {}});
+    reclaimable& held = out.emplace_back(reclaimable{it, {}, {}, {}});
     for (const run_key& run : book_.runs_on(it->id)) {
       const fleet::step_spec* spec = book_.find_step(run.task);
       if (spec == nullptr || spec->long_running()) continue;
       const job_entry& job = *book_.find(run.task.job);
-      const bool lesser = book_.queue_of(job).priority() > priority;
-      resources& more = spec->fills() ? to.fills : lesser ? to.lesser : to.same;
+      const bool less_urgent = book_.queue_of(job).priority() > priority;
+      resources& more = spec->fills() ? held.backfill
+                        : less_urgent ? held.less_urgent
+                                      : held.other;
       if (!spec->fills()) more.cpu += spec->cpu_milli();
       more.memory_mb += spec->memory_mb();
       more.accelerators += spec->accelerators();
@@ -115,14 +120,15 @@
   return out;
 }
 
-/// The usable workers, and how what does not last there may end.
+/// Release options of all usable workers.
 std::vector<fleet_scheduler::worker_releases> fleet_scheduler::all_releases(
     uint32_t priority, const std::set<run_key>& stopping) {
   std::vector<worker_releases> out;
   for (worker_view* it : candidates()) {
     worker_releases& worker = out.emplace_back(
         worker_releases{it, release_options(*it, priority, stopping), {}});
-    for (const release_option& way : worker.ways) worker.most.add(way.more);
+    for (const release_option& option : worker.options)
+      worker.total.add(option.frees);
   }
   return out;
 }
@@ -135,29 +141,29 @@
   };
   fit_counts out;
   for (const reclaimable& it : workers) {
-    const worker_view& where = *it.where;
-    if (where.beat.pool() != step.pool) continue;
+    const worker_view& worker = *it.worker;
+    if (worker.beat.pool() != step.pool) continue;
     ++out.usable;
-    if (!meets_constraints(where, step)) {
+    if (!meets_constraints(worker, step)) {
       ++out.barred;
       continue;
     }
     resources room;
-    room.cpu = rest(where.beat.cpu_milli(), where.load.cpu);
-    room.memory_mb = rest(where.beat.memory_mb(), where.load.memory_mb);
+    room.cpu = rest(worker.beat.cpu_milli(), worker.load.cpu);
+    room.memory_mb = rest(worker.beat.memory_mb(), worker.load.memory_mb);
     out.most_cpu = std::max(out.most_cpu, room.cpu);
     out.most_memory = std::max(out.most_memory, room.memory_mb);
     if (room.cpu >= spec.cpu_milli()) ++out.fit_cpu;
     if (room.memory_mb >= spec.memory_mb()) ++out.fit_memory;
-    const auto holds = [&](const resources& more) -> uint64_t {
+    const auto fits_with = [&](const resources& more) -> uint64_t {
       room.cpu += more.cpu;
       room.memory_mb += more.memory_mb;
       return room.cpu >= spec.cpu_milli() && room.memory_mb >= spec.memory_mb();
     };
-    out.fit += holds({});
-    out.without_fills += holds(it.fills);
-    out.without_lesser += holds(it.lesser);
-    out.without_short += holds(it.same);
+    out.fit += fits_with({});
+    out.without_fills += fits_with(it.backfill);
+    out.without_lesser += fits_with(it.less_urgent);
+    out.without_short += fits_with(it.other);
   }
   return out;
 }
@@ -184,11 +190,11 @@
       .with("most-memory-mb", n.most_memory);
 }
 
-/// Where the processors are: workers that get no new work, by reason, and of
-/// the others what is taken, and what of that their workers do not list.
+/// Logs unusable workers by reason, and the processors of the usable ones: in
+/// all, in use, in use by runs that their worker does not list, and reserved.
 void fleet_scheduler::report_processors() {
   std::map<std::string, uint64_t> ruled_out;
-  resources all, taken, unlisted, kept;
+  resources all, taken, unlisted, reserved;
   const size_t usable = candidates().size();
   for (auto& [id, it] : workers_.views()) {
     if (const char* reason = exclusion_reason(it)) {
@@ -197,7 +203,7 @@
     }
     all.cpu += it.beat.cpu_milli();
     taken.cpu += it.load.cpu;
-    for (const kept_room& room : it.kept) kept.cpu += room.cpu;
+    for (const kept_room& room : it.kept) reserved.cpu += room.cpu;
     for (const run_key& run : book_.runs_on(id)) {
       const fleet::step_spec* step = book_.find_step(run.task);
       if (step == nullptr || step->fills() || it.rows.contains(run)) continue;
@@ -209,7 +215,7 @@
       .with("cpu", all.cpu)
       .with("taken-cpu", taken.cpu)
       .with("unlisted-cpu", unlisted.cpu)
-      .with("kept-cpu", kept.cpu);
+      .with("kept-cpu", reserved.cpu);
   for (const auto& [reason, n] : ruled_out) line.with(reason, n);
 }
 
@@ -221,39 +227,40 @@
   size_t lines = 0;
   for (const delayed_step& wait : delayed_steps(detail::report_after)) {
     if (lines == 0) report_processors();
-    if (++lines > detail::most_reports) return;
-    const auto [workers, fresh] = by_priority.try_emplace(wait.priority);
-    if (fresh) workers->second = reclaimable_for(wait.priority);
+    if (++lines > detail::max_reports) return;
+    const auto [workers, inserted] = by_priority.try_emplace(wait.priority);
+    if (inserted) workers->second = reclaimable_for(wait.priority);
     const job_entry& job = *book_.find(wait.first.job);
     report_wait(pending_step_of(job, wait.first, false), wait.tasks,
                 now - wait.since, workers->second);
   }
 }
 
-void fleet_scheduler::report_late_start(const placement& it, bool lasts) {
+void fleet_scheduler::report_late_start(const placement& it,
+                                        bool long_running) {
   const auto& since = tracking_of(it.task.job).pending_since;
-  if (!lasts || !since) return;
+  if (!long_running || !since) return;
   const milliseconds waited = clock_.now() - *since;
   if (waited < detail::report_after) return;
   log_event(detail::service_name, log_level::warn, "lasting-starts-late")
       .with("task", to_text(it.task))
-      .with("worker", it.where->id.str())
+      .with("worker", it.worker->id.str())
       .with("waited-ms", waited.count());
 }
 
-/// Tells once of a step that no worker may carry but evacuated ones: it waits
-/// until the evacuation is taken back.
+/// Logs once that only evacuated workers meet the constraints of a step, which
+/// stays pending until the evacuation is cancelled.
 void fleet_scheduler::report_if_barred(
     const pending_step& step, const std::vector<worker_view*>& usable) {
   if (book_.evacuated().empty() || reported_barred_.contains(step.first))
     return;
-  const auto carries = [&](const auto* it) {
+  const auto eligible = [&](const auto* it) {
     return meets_constraints(*it, step);
   };
-  if (std::any_of(usable.begin(), usable.end(), carries)) return;
+  if (std::any_of(usable.begin(), usable.end(), eligible)) return;
   const auto& views = workers_.views();
   const auto n = std::count_if(views.begin(), views.end(), [&](const auto& it) {
-    return is_evacuated(it.second) && carries(&it.second);
+    return is_evacuated(it.second) && eligible(&it.second);
   });
   if (n == 0) return;
   reported_barred_.insert(step.first);
@@ -264,7 +271,7 @@
       .with("data-centres", book_.evacuated().names());
 }
 
-void fleet_scheduler::release_reservation(worker_view& where,
+void fleet_scheduler::release_reservation(worker_view& worker,
                                           const task_key& step) {
   const auto drop = [&](worker_view& it) {
     const auto kept =
@@ -274,7 +281,7 @@
     it.kept.erase(kept);
     return true;
   };
-  if (drop(where)) return;
+  if (drop(worker)) return;
   bool dropped = false;
   workers_.marks().with_rooms.review([&](worker_view& it) {
     dropped = dropped || drop(it);
--- a/fleet/evacuations.h
+++ b/fleet/evacuations.h
@@ -1,5 +1,5 @@
-// The data centres that an operator has evacuated. Part of the replicated
-// state: equal logs give equal evacuations.
+// Data centres that an operator has evacuated. Part of the replicated state and
+// a function of the log alone.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace kestrelreel {
 
-/// Which data centres get no new work, by which order, and since when.
+/// The evacuated data centres, which get no new work, with their orders.
 class evacuations {
  public:
-  /// An order that is in force.
+  /// An order in force.
   struct entry {
-    /// Counts all orders to evacuate and to take that back.
+    /// Number of orders to evacuate or to cancel an evacuation so far.
     uint64_t version = 0;
-    /// Time of day in ms since 1970 by the leader that took it.
+    /// Time of day at which the leader accepted the order, in ms since 1970.
     uint64_t ordered_at_ms = 0;
   };
 
-  /// The last order for a data centre rules; one that changes nothing keeps
-  /// the version and the time of the one in force.
+  /// Applies an order, which replaces the previous one for its data centre. An
+  /// order that changes nothing keeps the previous version and time.
   void apply(const fleet::evacuation_order& order);
   bool holds(const std::string& data_centre) const {
     return !in_force_.empty() && in_force_.contains(data_centre);
@@ -30,7 +30,7 @@
   bool empty() const { return in_force_.empty(); }
   const std::map<std::string, entry>& in_force() const { return in_force_; }
   uint64_t version() const { return version_; }
-  /// Names of the evacuated data centres, with commas; for logs.
+  /// Comma-separated names of the evacuated data centres, for logs.
   std::string names() const;
   void save(fleet::fleet_snapshot& out) const;
   void load(const fleet::fleet_snapshot& in);
--- a/fleet/job-order.cc
+++ b/fleet/job-order.cc
@@ -6,7 +6,7 @@
 namespace kestrelreel {
 namespace detail {
 
-/// Up to three times its objective a job is late, and worth something (the
+/// Up to this multiple of its objective a late job still has a worth (the
 /// users' rules, "Credit").
 constexpr int64_t late_factor = 3;
 
@@ -16,7 +16,7 @@
   return it.done >= it.tasks.size();
 }
 
-bool lasts(const job_entry& job) {
+bool is_long_running(const job_entry& job) {
   const auto& steps = job.spec.steps();
   return std::any_of(steps.begin(), steps.end(),
                      [](const auto& it) { return it.long_running(); });
@@ -92,7 +92,7 @@
   job_order order;
   order.priority = queue.priority();
   order.deadline = accepted + objective;
-  if (detail::lasts(job)) {
+  if (detail::is_long_running(job)) {
     order.standing = job_standing::long_running;
   } else if (end > accepted + detail::late_factor * objective) {
     order.standing = job_standing::overdue;
--- a/fleet/job-order.h
+++ b/fleet/job-order.h
@@ -1,4 +1,4 @@
-// Which waiting job goes first: the one that a delay would cost most.
+// Orders pending jobs by the cost of a further delay, the highest first.
 #pragma once
 
 #include <compare>
@@ -9,52 +9,53 @@
 
 namespace kestrelreel {
 
-/// How a waiting job stands against its objective, in the order of service.
-/// A job that has missed its objective is worth little however soon it ends, so
-/// it must not make others miss theirs as well.
+/// State of a pending job relative to its objective, in scheduling order. A job
+/// that has missed its objective is worth little however soon it ends, so it
+/// must not make others miss theirs.
 enum class job_standing : uint8_t {
-  /// Its tasks serve; some of them were interrupted and have waited for long.
+  /// Long-running, with interrupted tasks that have been pending for long.
   interrupted,
-  /// It can still end within its objective.
+  /// Can still end within its objective.
   in_time,
-  /// Its tasks serve for as long as they run: a delay costs in proportion.
+  /// Long-running: the cost of a delay is proportional to its length.
   long_running,
-  /// It can still end within `late_factor` times its objective.
+  /// Can still end within `late_factor` times its objective.
   late,
-  /// Any time is as good as another.
+  /// Too late to be worth anything; a further delay costs nothing.
   overdue,
 };
 
-/// The word that logs show.
+/// Name of the standing in logs.
 const char* to_string(job_standing standing);
 
-/// Sorts waiting jobs; the least goes first.
+/// Sort key of pending jobs; the smallest goes first.
 struct job_order {
   uint32_t priority = 0;
   job_standing standing = job_standing::in_time;
-  /// Of a pressing job, its least task's processors: where there isn't room for
-  /// all, more tasks serve when the small ones go first.
-  uint64_t size = 0;
+  /// Of an interrupted job, the processors of its smallest long-running task in
+  /// thousandths, else 0: if capacity is short, more tasks serve when small
+  /// ones go first.
+  uint64_t task_cpu = 0;
   time_point deadline{};
   auto operator<=>(const job_order&) const = default;
 };
 
-/// The longest chain of estimates over the steps that are not done, in ms; of
-/// all steps with `whole`. The first time's steps count.
+/// Critical path of the estimates of the steps that are not done, or of all
+/// steps with `whole`, by the state of the first repetition.
 milliseconds critical_path_time(const job_entry& job, bool whole);
 
-/// The time from a job's coming within which it should end.
+/// Time from acceptance within which the job should end.
 milliseconds objective_of(const job_entry& job,
                           const fleet::queue_route& queue);
 
-/// True for a task that waits and has begun before.
+/// True for a pending task that has started before.
 bool is_interrupted(const task_entry& task);
-/// True when a task of the job is.
+/// True if the job has an interrupted task.
 bool was_interrupted(const job_entry& job);
-/// The processors of the job's smallest lasting task, in thousandths.
+/// Processors of the job's smallest long-running task, in thousandths.
 uint64_t smallest_task_cpu(const job_entry& job);
 
-/// Where a job that came at `accepted` stands at `now`.
+/// Sort key at `now` of a job that was accepted at `accepted`.
 job_order order_of(const job_entry& job, const fleet::queue_route& queue,
                    time_point accepted, time_point now);
 
--- a/fleet/load-forecast.cc
+++ b/fleet/load-forecast.cc
@@ -6,22 +6,21 @@
 namespace kestrelreel {
 namespace detail {
 
-/// Time constant: short against the users' swings of 10 s and more, long
-/// against the quarter second between a worker's heartbeats.
+/// Filter time constant: short against the load swings of 10 s and more, and as
+/// long as the interval of a worker's heartbeats, a quarter second.
 constexpr double forecast_tau_s = 0.25;
-/// One reading far off, of a worker in trouble, moves the level no further.
-constexpr double most_surprise = 0.12;
-/// Load a second: above the steepest swing of services, 0.15, so that a slope
-/// that one bad reading drives up is not carried on.
-constexpr double most_slope = 0.25;
-/// How far ahead the slope is believed.
-constexpr double most_ahead_s = 0.9;
-/// After such a pause a reading starts anew.
+/// Bounds the effect of an outlier, such as the reading of a faulty worker.
+constexpr double max_error = 0.12;
+/// Load per second: above the steepest slope of services, 0.15, so that one bad
+/// reading is not extrapolated.
+constexpr double max_slope = 0.25;
+/// Longest extrapolation.
+constexpr double max_ahead_s = 0.9;
+/// After a gap of this length a reading restarts the filter.
 constexpr double stale_s = 3.0;
-/// The load of a service that nothing is known of: the average of services is
-/// 0.48.
-constexpr double usual_load = 0.5;
-constexpr double least_load = 0.05;
+/// Load of a service without readings: close to the average of services, 0.48.
+constexpr double default_load = 0.5;
+constexpr double min_load = 0.05;
 constexpr double ms_per_s = 1'000;
 
 double seconds(milliseconds n) {
@@ -39,23 +38,23 @@
     slope_ = 0;
     return;
   }
-  // Several tasks report at once: each counts for a little time at least.
+  // Several tasks may report at once; 10 ms avoids a division by 0.
   const double step = std::max(dt, 0.01);
-  const double keep = std::exp(-step / detail::forecast_tau_s);
+  const double decay = std::exp(-step / detail::forecast_tau_s);
   level_ += slope_ * dt;
   const double error =
-      std::clamp(load - level_, -detail::most_surprise, detail::most_surprise);
-  level_ += (1 - keep * keep) * error;
-  slope_ += (1 - keep) * (1 - keep) * error / step;
-  slope_ = std::clamp(slope_, -detail::most_slope, detail::most_slope);
+      std::clamp(load - level_, -detail::max_error, detail::max_error);
+  level_ += (1 - decay * decay) * error;
+  slope_ += (1 - decay) * (1 - decay) * error / step;
+  slope_ = std::clamp(slope_, -detail::max_slope, detail::max_slope);
   last_ = std::max(last_, at);
 }
 
 double load_forecast::at(time_point at) const {
-  if (!known_) return detail::usual_load;
+  if (!known_) return detail::default_load;
   const double ahead =
-      std::clamp(detail::seconds(at - last_), 0.0, detail::most_ahead_s);
-  return std::clamp(level_ + slope_ * ahead, detail::least_load, 1.0);
+      std::clamp(detail::seconds(at - last_), 0.0, detail::max_ahead_s);
+  return std::clamp(level_ + slope_ * ahead, detail::min_load, 1.0);
 }
 
 }  // namespace kestrelreel
--- a/fleet/load-forecast.h
+++ b/fleet/load-forecast.h
@@ -1,25 +1,25 @@
-// Where the load of one step's serving tasks goes next.
+// Forecasts the load of a step's serving tasks.
 #pragma once
 
 #include "base/clock.h"
 
 namespace kestrelreel {
 
-/// The tasks of a serving step share its users, so their loads rise and fall
-/// together, within seconds. Readings are half a second old and orders take as
-/// long again: a load is followed with its slope, by a critically damped
-/// second-order filter (Brookner, 1998), and told ahead of time.
+/// The tasks of a serving step share its requests, so their loads rise and fall
+/// together within seconds. Readings are half a second old and orders take as
+/// long again, so a critically damped second-order filter (Brookner, 1998)
+/// tracks level and slope and extrapolates them.
 class load_forecast {
  public:
-  /// A task's load without what fill tasks add, as it was at `at`; readings
-  /// from before the last one count as of the last one.
+  /// Adds a task's load at `at`, without the part that backfill tasks add. A
+  /// reading older than the last one counts as of the last one's time.
   void observe(time_point at, double load);
-  /// The load to expect at `at`; 0.9 s beyond the last reading the slope stops
-  /// counting, and a load never read is middling.
+  /// Expected load at `at`. The slope counts for at most 0.9 s after the last
+  /// reading; without any reading the average load of services is returned.
   double at(time_point at) const;
-  /// Change a second.
+  /// Change of the load per second.
   double slope() const { return slope_; }
-  /// True once a reading came.
+  /// True after the first reading.
   bool known() const { return known_; }
 
  private:
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -1,4 +1,4 @@
-// How hard each fill task may work beside serving ones.
+// Sets the pace of backfill tasks that share a worker with serving tasks.
 #include <algorithm>
 #include <cmath>
 
@@ -7,52 +7,55 @@
 namespace kestrelreel {
 namespace detail {
 
-/// A reading is the average of the last half second.
+/// Age of a reading, which is the average of the last half second.
 constexpr milliseconds reading_age{250};
-/// An order takes effect a way later and rules until the next one does.
+/// Mean age of an order in force: it takes effect after its transfer and holds
+/// until the next one does.
 constexpr milliseconds order_age{350};
-/// An own load beyond this is that of a worker in trouble, not of its users.
-constexpr double troubled_load = 0.95;
-/// Weight of the newest reading in what a load exceeds its model by, what of
-/// that is noise, and the most that is believed.
+/// An own load above this comes from a faulty worker, not from users' requests.
+constexpr double faulty_load = 0.95;
+/// A load's excess over the model: weight of the newest reading, the part that
+/// is noise, and the upper bound.
 constexpr double excess_weight = 0.3;
 constexpr double excess_noise = 0.03;
-constexpr double most_excess = 0.2;
-/// Readings and costs are in use of a worker of this size.
+constexpr double max_excess = 0.2;
+/// Processors of the reference worker to which uses and costs are scaled.
 constexpr double reference_cpu_milli = 32'000;
-/// Paces are told in steps of so many percent, so that noise tells nothing.
+/// Pace granularity in percent, so that noise triggers no orders.
 constexpr double pace_step = 10;
 
-/// A serving task that is over its target for so long stops all fill tasks
-/// beside it, whatever they are thought to cost. The users bear 5,500 ms; the
-/// readings lag by a second, and the order takes a heartbeat.
-constexpr milliseconds guard_after{3'000};
-/// It lets them work again from this headroom.
-constexpr double guard_until = 1.2;
-/// A fill task below this share for so long may be moved; the share is what
-/// a move (a stop, a restore and a start, about a second) is worth.
-constexpr double held_share = 0.3;
+/// A serving task over its target for this long stops all backfill tasks on its
+/// worker, whatever their estimated cost. Users tolerate 5,500 ms; the readings
+/// lag by a second, and the order takes a heartbeat.
+constexpr milliseconds stop_after{3'000};
+/// Headroom from which the backfill tasks may run again.
+constexpr double resume_headroom = 1.2;
+/// A backfill task below this share for this long may be moved. The share
+/// equals the cost of a move: a stop, a restore and a start take about a
+/// second.
+constexpr double throttled_share = 0.3;
 constexpr milliseconds move_after{1'500};
-constexpr size_t most_moves = 12;
-/// Runs looked at for a move in one tick: with 1,100 workers each look takes
-/// about 0.1 ms.
-constexpr size_t most_looks = 24;
-/// A place where an image was held back is left to others for so long: about a
-/// third of the users' swings.
-constexpr milliseconds unfit_time{4'000};
-/// A task without checkpoints is moved at once only at the beginning of its
-/// work, later only after a longer wait: its job waits for it as well.
-constexpr uint32_t early_percent = 15;
-constexpr milliseconds move_anyway_after{4'000};
-/// A place must let a moved task work at this share; the lower one after the
-/// longer wait.
-constexpr double good_share = 0.9;
-constexpr double fair_share = 0.6;
-/// One that saves its work goes back to the waiting tasks after so long, even
-/// while there is no place: the oldest jobs get the next good one.
+constexpr size_t max_moves = 12;
+/// Runs for which one tick searches a better worker: a search over 1,100
+/// workers takes about 0.1 ms.
+constexpr size_t max_searches = 24;
+/// How long a worker that throttled an image gets no more tasks of that image:
+/// about a third of the period of load swings.
+constexpr milliseconds image_ban_time{4'000};
+/// A task without checkpoints is moved up to this progress, later only after
+/// the longer wait, since its job waits for it as well.
+constexpr uint32_t early_progress_percent = 15;
+constexpr milliseconds forced_move_after{4'000};
+/// Share at which a moved task must be able to run on its new worker; the lower
+/// one applies after the longer wait.
+constexpr double min_move_share = 0.9;
+constexpr double min_forced_move_share = 0.6;
+/// A task that saves its progress becomes pending again after this long even
+/// without a better worker: the oldest jobs get the next good one.
 constexpr milliseconds requeue_after{6'000};
-/// From this share on a task is no longer held back; short bursts do not count.
-constexpr double free_share = 0.6;
+/// A task counts as throttled until it reaches this share; short bursts below
+/// it do not end the state.
+constexpr double unthrottled_share = 0.6;
 
 task_key step_key(const task_key& task) {
   return {task.job, task.time, task.step, 0};
@@ -71,7 +74,7 @@
   std::vector<serving_task> all;
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
-    // Below 100 percent the task is still starting and tells nothing yet.
+    // Below 100 percent the task is starting; its reading is not usable yet.
     if (step == nullptr || step->target_ms() <= 0 || row.reading() <= 0 ||
         row.percent() < full_pace) {
       continue;
@@ -99,7 +102,7 @@
   return all;
 }
 
-/// Learns from a heartbeat's readings and sets the pace of its fill tasks.
+/// Updates the model from a heartbeat and sets the worker's backfill paces.
 void fleet_scheduler::pace(worker_view& it) {
   const std::vector<serving_task> serving = serving_tasks(it);
   std::vector<backfill_task> fills = backfill_tasks(it);
@@ -121,7 +124,7 @@
   }
 }
 
-/// The last resort, independent of what the model believes.
+/// Last resort, independent of the model.
 void fleet_scheduler::enforce_targets(worker_view& it,
                                       const std::vector<serving_task>& serving,
                                       std::vector<backfill_task>& fills) {
@@ -134,11 +137,11 @@
       if (task.tail_share > 1) it.over_since[task.run] = it.heard;
       continue;
     }
-    const bool long_over = it.heard - since->second >= detail::guard_after;
-    const double until = long_over ? detail::guard_until : 1;
+    const bool over_too_long = it.heard - since->second >= detail::stop_after;
+    const double until = over_too_long ? detail::resume_headroom : 1;
     if (task.tail_share * until <= 1) {
       it.over_since.erase(since);
-    } else if (long_over) {
+    } else if (over_too_long) {
       stop = true;
     }
   }
@@ -151,13 +154,13 @@
   std::erase_if(it.held_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const backfill_task& fill : fills) {
-    if (fill.share < detail::held_share) {
+    if (fill.share < detail::throttled_share) {
       workers_.marks().held_back.add(it);
       const auto since = it.held_since.try_emplace(fill.run, it.heard).first;
       if (it.heard - since->second >= detail::move_after) {
-        it.unfit_until[fill.image] = it.heard + detail::unfit_time;
+        it.unfit_until[fill.image] = it.heard + detail::image_ban_time;
       }
-    } else if (fill.share >= detail::free_share) {
+    } else if (fill.share >= detail::unthrottled_share) {
       it.held_since.erase(fill.run);
     }
   }
@@ -172,8 +175,8 @@
   const auto row = it.rows.find(run);
   const fleet::step_spec* step = book_.find_step(run.task);
   if (row == it.rows.end() || step == nullptr || step->gang()) return false;
-  return held >= detail::move_anyway_after || step->saves_progress() ||
-         row->second.percent() <= detail::early_percent;
+  return held >= detail::forced_move_after || step->saves_progress() ||
+         row->second.percent() <= detail::early_progress_percent;
 }
 
 worker_view* fleet_scheduler::find_better_worker(
@@ -186,44 +189,46 @@
   worker_view* it = nullptr;
   double best = 0;
   count_evaluations(all.size());
-  for (worker_view* place : all) {
-    const auto value = score_if_allowed(step, *place);
+  for (worker_view* target : all) {
+    const auto value = score_if_allowed(step, *target);
     if (!value || (it != nullptr && *value <= best)) continue;
-    it = place;
+    it = target;
     best = *value;
   }
   if (it == nullptr || it == &from) return nullptr;
   const milliseconds held = from.heard - from.held_since.at(run);
-  const double wanted = held >= detail::move_anyway_after ? detail::fair_share
-                                                          : detail::good_share;
-  return expected_share(*it, step) >= wanted ? it : nullptr;
+  const double min_share = held >= detail::forced_move_after
+                               ? detail::min_forced_move_share
+                               : detail::min_move_share;
+  return expected_share(*it, step) >= min_share ? it : nullptr;
 }
 
-/// Looks at so many held back runs at most, and goes on where it ended: each
-/// look compares all workers.
+/// Each search compares all workers, so a call examines a bounded number of
+/// throttled runs; the next call continues after them.
 std::vector<run_key> fleet_scheduler::moves() {
   std::vector<run_key> runs;
   std::vector<worker_view*> all;
-  size_t looks = 0;
+  size_t searches = 0;
   worker_set& held_back = workers_.marks().held_back;
   held_back.review([](const auto& it) { return !it.held_since.empty(); });
-  for (worker_view* held : held_back.from(last_move_ordinal_)) {
-    worker_view& from = *held;
+  for (worker_view* throttled : held_back.from(last_move_ordinal_)) {
+    worker_view& from = *throttled;
     last_move_ordinal_ = from.ordinal;
     for (const auto& [run, since] : from.held_since) {
       if (!may_move(from, run)) continue;
-      if (runs.size() >= detail::most_moves) return runs;
-      if (++looks > detail::most_looks) return runs;
+      if (runs.size() >= detail::max_moves) return runs;
+      if (++searches > detail::max_searches) return runs;
       if (all.empty()) all = candidates();
-      worker_view* place = find_better_worker(from, run, all);
+      worker_view* target = find_better_worker(from, run, all);
       const fleet::step_spec& spec = *book_.find_step(run.task);
       const bool requeue =
           spec.saves_progress() && from.heard - since >= detail::requeue_after;
-      if (place == nullptr && !requeue) continue;
-      if (place != nullptr) {
-        place->load.add(run.task, spec, model_.id_of(spec.image()));
-        // Nothing is proposed for it yet.
-        place->load_is_old = true;
+      if (target == nullptr && !requeue) continue;
+      if (target != nullptr) {
+        target->load.add(run.task, spec, model_.id_of(spec.image()));
+        // No start is proposed yet, so the load is recomputed before the next
+        // use.
+        target->load_is_old = true;
       }
       runs.push_back(run);
     }
@@ -231,16 +236,16 @@
   return runs;
 }
 
-/// The share of its own load that the fill tasks' uses add to a serving one's.
-double fleet_scheduler::added(image_id serving,
-                              const std::vector<image_use>& use) const {
+/// Load that backfill tasks add to a serving task, as a share of its own load.
+double fleet_scheduler::added_load(image_id serving,
+                                   const std::vector<image_use>& use) const {
   double sum = 0;
   for (const auto& [image, n] : use) sum += model_.cost(serving, image) * n;
   return sum;
 }
 
-/// Tells the model how the task's load compares with what its step's tasks
-/// show, and the forecast what its own load is.
+/// Feeds the task's load relative to the step's forecast to the model, and its
+/// own load to the forecast.
 void fleet_scheduler::update_model(worker_view& it, const serving_task& task,
                                    const std::vector<image_use>& use) {
   load_forecast& forecast = forecasts_[detail::step_key(task.run.task)];
@@ -248,16 +253,16 @@
   const time_point read_at = it.heard - detail::reading_age;
   if (forecast.known()) {
     const double expected = forecast.at(read_at);
-    const double modelled = expected * (1 + added(image, use));
+    const double modelled = expected * (1 + added_load(image, use));
     double& excess = it.excess[task.run];
     excess += detail::excess_weight * (task.load - modelled - excess);
     model_.observe(image, task.load / expected - 1, use);
   }
-  const double own = task.load / (1 + added(image, use));
-  if (own < detail::troubled_load) forecast.observe(read_at, own);
+  const double own = task.load / (1 + added_load(image, use));
+  if (own < detail::faulty_load) forecast.observe(read_at, own);
 }
 
-/// The own load of a serving task's step at a time ahead.
+/// Forecast of the own load of a serving task's step.
 double fleet_scheduler::own_load(const task_key& serving,
                                  milliseconds ahead) const {
   static const load_forecast unknown;
@@ -266,9 +271,9 @@
   return it.at(clock_.now() + ahead);
 }
 
-/// Lowers the shares of the fill tasks beside a serving task until it can bear
-/// what they add; those that cost it most for their work first. A task whose
-/// target would cost more fill work than it is worth stays over it for now.
+/// Lowers the shares of backfill tasks until a serving task on the worker meets
+/// its target, those with the highest cost per processor first. Does nothing if
+/// that would lose more than `max_backfill_loss_cores`.
 void fleet_scheduler::throttle_backfill(const worker_view& it,
                                         const serving_task& task,
                                         std::vector<backfill_task>& fills) {
@@ -276,7 +281,7 @@
   const auto known = it.excess.find(task.run);
   const double excess = known == it.excess.end() ? 0 : known->second;
   const double spare = max_load - std::clamp(excess - detail::excess_noise, 0.0,
-                                             detail::most_excess);
+                                             detail::max_excess);
   const double own = own_load(task.run.task, detail::order_age);
   double over = 1 - spare / own;
   std::vector<std::pair<double, backfill_task*>> costs;
@@ -292,18 +297,18 @@
   double lost = 0;
   for (const auto& [cost, fill] : costs) {
     const double part = cost * fill->full_use * fill->share;
-    const double kept =
+    const double remaining =
         over <= 0 || part <= 0 ? 1 : std::max(0.0, 1 - over / part);
-    over -= part * (1 - kept);
-    lost += fill->full_use * fill->share * (1 - kept);
-    shares.push_back(fill->share * kept);
+    over -= part * (1 - remaining);
+    lost += fill->full_use * fill->share * (1 - remaining);
+    shares.push_back(fill->share * remaining);
   }
   if (lost > settings_.max_backfill_loss_cores) return;
   for (size_t i = 0; i < shares.size(); ++i) costs[i].second->share = shares[i];
 }
 
-/// The share that a fill task could work at beside the serving tasks of that
-/// worker, with the fill tasks that are there already.
+/// Share of full pace that a new backfill task could reach on the worker beside
+/// its serving and backfill tasks.
 double fleet_scheduler::expected_share(const worker_view& it,
                                        const pending_step& step) const {
   const double own_use = detail::reference_use(
@@ -312,18 +317,18 @@
   for (const auto& [serving, count] : it.load.serving) {
     const double cost = model_.cost(serving, step.image);
     if (cost < negligible_cost) continue;
-    double room = max_added_load;
+    double spare = max_added_load;
     for (const auto& [fill, cpu] : it.load.fills) {
       const double other = model_.cost(serving, fill);
       if (other < negligible_cost) continue;
-      room -= other * detail::reference_use(it.beat, static_cast<double>(cpu));
+      spare -= other * detail::reference_use(it.beat, static_cast<double>(cpu));
     }
-    share = std::min(share, std::max(0.0, room) / (cost * own_use));
+    share = std::min(share, std::max(0.0, spare) / (cost * own_use));
   }
   return share;
 }
 
-/// True when no serving task there suffers from any fill task known.
+/// True if no known backfill image disturbs the serving tasks of the worker.
 bool fleet_scheduler::tolerates_backfill(const worker_view& it) const {
   for (const auto& [image, count] : it.load.serving) {
     if (model_.sensitivity(image) >= negligible_cost) return false;
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -1,4 +1,4 @@
-// Where the tasks of one step start.
+// Places the pending tasks of a step on workers.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -7,16 +7,16 @@
 
 namespace kestrelreel {
 
-/// The tasks that wait, those that had begun before others.
+/// Indices of the pending tasks, the interrupted ones first.
 std::vector<uint32_t> fleet_scheduler::placement_order(const step_entry& step) {
-  std::vector<uint32_t> turns;
+  std::vector<uint32_t> order;
   for (uint32_t i = 0; i < step.tasks.size(); ++i) {
-    if (step.tasks[i].phase == task_phase::waiting) turns.push_back(i);
+    if (step.tasks[i].phase == task_phase::waiting) order.push_back(i);
   }
-  std::stable_partition(turns.begin(), turns.end(), [&](uint32_t i) {
+  std::stable_partition(order.begin(), order.end(), [&](uint32_t i) {
     return is_interrupted(step.tasks[i]);
   });
-  return turns;
+  return order;
 }
 
 fleet_scheduler::ranking fleet_scheduler::rank(
@@ -31,7 +31,7 @@
   return ranking(std::less<ranked>(), std::move(values));
 }
 
-/// Takes the best one out; it is to be ranked again once it got a task.
+/// Removes the best worker; the caller re-inserts it after placing a task.
 std::optional<size_t> fleet_scheduler::take_best(
     ranking& best, const pending_step& step,
     const std::vector<worker_view*>& all) {
@@ -49,8 +49,8 @@
   return last;
 }
 
-/// The tasks of a step are alike: each worker is looked at once, and again
-/// when it got one of them.
+/// The tasks of a step have equal needs, so each worker is evaluated once, and
+/// again after it got a task.
 std::vector<fleet_scheduler::placement> fleet_scheduler::place_tasks(
     const waiting_job& job, const pending_step& step,
     std::vector<worker_view*>& all) {
@@ -58,14 +58,15 @@
   const run_number gang_run = last_run(entry);
   ranking best = rank(step, all);
   std::vector<placement> placed;
-  const bool lasts = step.spec.long_running();
-  uint64_t fresh_room = lasts ? new_task_capacity(step.pool, step.priority,
-                                                  tracking_of(job.number))
-                              : 0;
+  const bool long_running = step.spec.long_running();
+  uint64_t new_capacity =
+      long_running
+          ? new_task_capacity(step.pool, step.priority, tracking_of(job.number))
+          : 0;
   for (const uint32_t i : placement_order(entry)) {
     const task_entry& task = entry.tasks[i];
-    const bool fresh = lasts && !is_interrupted(task);
-    if (fresh && fresh_room < step.spec.cpu_milli()) break;
+    const bool never_started = long_running && !is_interrupted(task);
+    if (never_started && new_capacity < step.spec.cpu_milli()) break;
     const task_key key{job.number, step.first.time, step.first.step, i};
     if (is_proposed(key)) continue;
     const bool suspect = book_.is_suspect(key);
@@ -74,19 +75,19 @@
         suspect ? worker_for_suspect(step, all) : take_best(best, step, all);
     if (!at && suspect) continue;
     if (!at) break;
-    worker_view& where = *all[*at];
-    if (suspect) record_suspect_trial(where.id, key);
-    where.load.add(key, step.spec, step.image);
-    if (lasts) {
-      release_reservation(where, step.first);
-      pool_use_of(step.pool).lasting += step.spec.cpu_milli();
-      fresh_room -= std::min(fresh_room, step.spec.cpu_milli());
+    worker_view& worker = *all[*at];
+    if (suspect) record_suspect_trial(worker.id, key);
+    worker.load.add(key, step.spec, step.image);
+    if (long_running) {
+      release_reservation(worker, step.first);
+      pool_use_of(step.pool).long_running += step.spec.cpu_milli();
+      new_capacity -= std::min(new_capacity, step.spec.cpu_milli());
     }
-    if (const auto value = score_if_allowed(step, where)) {
+    if (const auto value = score_if_allowed(step, worker)) {
       best.emplace(*value, -static_cast<std::ptrdiff_t>(*at));
     }
     const run_number run = step.spec.gang() ? gang_run : task.run;
-    placed.push_back({key, run.next(), &where});
+    placed.push_back({key, run.next(), &worker});
     if (job.starved && step.spec.fills() && !step.spec.gang()) break;
   }
   return placed;
@@ -97,31 +98,31 @@
                                 fleet::run_starts& out) {
   const fleet::step_spec& spec = job.entry->spec.steps(static_cast<int>(step));
   const step_entry& entry = job.entry->times[time][step];
-  // A gang starts whole: none of an earlier run may be alive any more.
+  // A gang starts as a whole, after all tasks of its earlier run ended.
   if (spec.gang() && entry.running > 0) return;
   const task_key first{job.number, time, step, 0};
   const size_t waiting =
       entry.tasks.size() - entry.done - entry.running - count_proposed(first);
   if (waiting == 0) return;
-  const bool anywhere = retry_is_due(first);
-  if (!anywhere && !fits_on_freed_worker(*job.entry, first)) return;
-  const pending_step place = pending_step_of(*job.entry, first, job.starved);
-  const size_t opened = place_on_open_workers(job, place, waiting, out);
+  const bool retry = retry_is_due(first);
+  if (!retry && !fits_on_freed_worker(*job.entry, first)) return;
+  const pending_step pending = pending_step_of(*job.entry, first, job.starved);
+  const size_t opened = place_on_open_workers(job, pending, waiting, out);
   if (opened >= waiting) return void(retry_at_.erase(first));
   if (all.empty()) all = plan_candidates();
   const std::vector<placement> placed =
-      place_tasks(job, place, anywhere ? all : freed_);
-  if (anywhere) retry_at_.erase(first);
-  if (anywhere && opened + placed.size() < waiting) {
+      place_tasks(job, pending, retry ? all : freed_);
+  if (retry) retry_at_.erase(first);
+  if (retry && opened + placed.size() < waiting) {
     retry_at_[first] =
         clock_.now() + retry_pause(all.size(), spec.long_running());
   }
   if (spec.gang() && placed.size() < waiting) return cancel_placements(placed);
-  if (opened + placed.size() == 0 && anywhere) report_if_barred(place, all);
-  start(placed, place, out);
+  if (opened + placed.size() == 0 && retry) report_if_barred(pending, all);
+  start(placed, pending, out);
 }
 
-/// Tasks of the step whose start is proposed and not yet in the book.
+/// Number of the step's tasks with a proposed start not yet in the book.
 size_t fleet_scheduler::count_proposed(const task_key& first) const {
   task_key next = first;
   ++next.step;
@@ -129,13 +130,13 @@
       std::distance(proposed_.lower_bound(first), proposed_.lower_bound(next)));
 }
 
-/// Places tasks of a short step at workers whose call is held; how many.
+/// Places tasks of a short step on workers with an open call; returns how many.
 size_t fleet_scheduler::place_on_open_workers(const waiting_job& job,
                                               const pending_step& step,
                                               size_t wanted,
                                               fleet::run_starts& out) {
   const fleet::step_spec& spec = step.spec;
-  // Where data lies and what disturbs whom is looked for among all.
+  // Data locality and interference need a comparison of all workers.
   if (spec.long_running() || !spec.affinity_rack().empty()) return 0;
   if (!open_workers_) open_workers_ = open_candidates();
   if (open_workers_->empty()) return 0;
@@ -149,7 +150,7 @@
 }
 
 void fleet_scheduler::cancel_placements(const std::vector<placement>& placed) {
-  for (const placement& it : placed) it.where->load = load_of(*it.where);
+  for (const placement& it : placed) it.worker->load = load_of(*it.worker);
 }
 
 void fleet_scheduler::start(const std::vector<placement>& placed,
@@ -158,13 +159,13 @@
   tracking_of(step.first.job).idle_since.reset();
   for (const placement& it : placed) {
     report_late_start(it, step.spec.long_running());
-    proposed_[it.task] = it.where->id;
-    it.where->proposed[{it.task, it.run}] = step.spec;
-    workers_.marks().proposing.add(*it.where);
+    proposed_[it.task] = it.worker->id;
+    it.worker->proposed[{it.task, it.run}] = step.spec;
+    workers_.marks().proposing.add(*it.worker);
     fleet::run_start& start = *out.add_starts();
     *start.mutable_task() = to_ref(it.task);
     start.set_run(static_cast<uint32_t>(it.run.value()));
-    start.set_worker(it.where->id.str());
+    start.set_worker(it.worker->id.str());
   }
 }
 
--- a/fleet/reservations.cc
+++ b/fleet/reservations.cc
@@ -1,8 +1,8 @@
-// Room that is kept for lasting tasks that wait, and what gives way to them.
+// Reserves capacity for long-running tasks that are pending for too long.
 //
-// Short tasks take each gap as it opens, so that none grows large enough for a
-// larger task. Where one waits too long, a worker is chosen at which room comes
-// free soonest and at the least loss; what comes free there is kept for it.
+// Short tasks fill each gap as it opens, so that no gap grows large enough for
+// a larger task. For a delayed one the scheduler selects the worker on which
+// capacity is free soonest at the least loss, and reserves it there.
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -18,42 +18,42 @@
 constexpr double ms_per_s = 1'000;
 constexpr double full_percent = 100;
 constexpr double milli = 1'000;
-/// A task whose time is not told is taken to work on for so long.
-constexpr double unknown_s = 10;
-/// Below this percent, what a run has done tells little of its pace.
-constexpr double telling_percent = 5;
-/// What a run that saves its progress loses with a stop: half a second since
-/// its last checkpoint, and a quarter to take it up again.
-constexpr double unsaved_s = 0.75;
-/// A core-second thrown away is worth so many seconds of a lasting task: by the
-/// users' worths 0.018 against 0.035.
-constexpr double s_per_core_s = 0.5;
-/// A place among serving tasks of other images costs paces and targets, one
-/// beside tasks of the same step is lost together with them.
-constexpr double unlike_s = 0.3;
-constexpr double crowd_s = 0.2;
-/// A step for which no room could be made is left alone for so long at least,
-/// unless it presses, and no more than so many are.
-constexpr milliseconds left_alone_for{1'000};
-constexpr size_t most_left_alone = 1'000;
+/// Assumed run time, in seconds, of a task without an estimate.
+constexpr double default_run_s = 10;
+/// Below this progress, in percent, a run's pace is too uncertain to use.
+constexpr double min_progress_percent = 5;
+/// Work lost, in seconds, by evicting a run that saves its progress: half a
+/// second since its last checkpoint, and a quarter to restore it.
+constexpr double checkpoint_loss_s = 0.75;
+/// Seconds of a long-running task that one lost core-second is worth: users
+/// value them at 0.035 and 0.018.
+constexpr double seconds_per_core_second = 0.5;
+/// Costs in seconds: serving images that share a worker lose backfill pace and
+/// targets; tasks of one step on one worker are lost together.
+constexpr double image_mismatch_s = 0.3;
+constexpr double same_step_s = 0.2;
+/// Minimum pause before a step without a reservation is tried again, unless
+/// it is past its deadline, and the maximum number of steps in that pause.
+constexpr milliseconds min_pause{1'000};
+constexpr size_t max_paused_steps = 1'000;
 
 uint64_t excess(uint64_t taken, uint64_t room) {
   return taken - std::min(taken, room);
 }
 
-/// How long a run works on, by its estimate and by its pace so far.
+/// Remaining run time by the estimate and by the pace so far.
 double remaining_s(const worker_view& it, const run_key& run,
                    const fleet::step_spec& spec, time_point now) {
   const double whole = spec.estimate_ms() > 0
                            ? static_cast<double>(spec.estimate_ms()) / ms_per_s
-                           : unknown_s;
+                           : default_run_s;
   const auto row = it.rows.find(run);
   const auto sent = it.sent.find(run);
   if (row == it.rows.end() || sent == it.sent.end()) return whole;
   const double percent = row->second.percent();
   const double left = std::max(0.0, full_percent - percent);
   const double by_estimate = whole * left / full_percent;
-  if (percent < telling_percent) return by_estimate;
+  if (percent < min_progress_percent) return by_estimate;
   const auto passed = static_cast<double>((now - sent->second).count());
   return std::max(by_estimate, passed / ms_per_s * left / percent);
 }
@@ -66,7 +66,7 @@
   accelerators += it.accelerators;
 }
 
-void fleet_scheduler::resources::take(const resources& it) {
+void fleet_scheduler::resources::subtract(const resources& it) {
   cpu -= it.cpu;
   memory_mb -= it.memory_mb;
   accelerators -= it.accelerators;
@@ -77,19 +77,19 @@
          accelerators >= need.accelerators;
 }
 
-/// That of the step's queue; behind all others once its job is not known.
+/// Priority of the step's queue; the lowest if the job is unknown.
 uint32_t fleet_scheduler::priority_of(const task_key& step) const {
   const job_entry* job = book_.find(step.job);
   return job == nullptr ? UINT32_MAX : book_.queue_of(*job).priority();
 }
 
-/// True for room that tasks of that priority leave alone.
+/// True if tasks of that priority must not use the reservation.
 bool fleet_scheduler::blocks(const kept_room& kept, uint32_t priority) const {
   return priority_of(kept.step) <= priority;
 }
 
-/// True for a run that may be stopped for a lasting task of that priority: for
-/// a more urgent one, fill tasks also for one that is as urgent.
+/// True if a long-running task of that priority may evict the run: backfill
+/// runs yield to equal or higher priority, others only to higher.
 bool fleet_scheduler::may_evict(const run_key& run, uint32_t priority) const {
   const fleet::step_spec& spec = *book_.find_step(run.task);
   if (spec.long_running() || spec.gang()) return false;
@@ -97,7 +97,7 @@
   return spec.fills() ? own >= priority : own > priority;
 }
 
-/// What stopping the run throws away, in seconds of a lasting task.
+/// Work lost by evicting the run, in seconds of a long-running task.
 double fleet_scheduler::eviction_cost(const worker_view& it,
                                       const run_key& run) const {
   const fleet::step_spec& spec = *book_.find_step(run.task);
@@ -105,45 +105,46 @@
   const double percent = row == it.rows.end() ? 0 : row->second.percent();
   const double done = percent * static_cast<double>(spec.estimate_ms()) /
                       detail::full_percent / detail::ms_per_s;
-  const double lost = spec.saves_progress() ? detail::unsaved_s : done;
+  const double lost = spec.saves_progress() ? detail::checkpoint_loss_s : done;
   return lost * static_cast<double>(spec.cpu_milli()) / detail::milli *
-         detail::s_per_core_s;
+         detail::seconds_per_core_second;
 }
 
-/// How each run there may end, the best first: by itself, or stopped where that
-/// costs less than to wait for it.
+/// Release options of the worker's runs, the cheapest first. A run is evicted
+/// only if that costs less than the wait for its end.
 std::vector<fleet_scheduler::release_option> fleet_scheduler::release_options(
     const worker_view& it, uint32_t priority,
     const std::set<run_key>& stopping) const {
-  std::vector<release_option> ways;
+  std::vector<release_option> options;
   const double stop_s =
       static_cast<double>(settings_.worker_stop.count()) / detail::ms_per_s;
   for (const run_key& run : book_.runs_on(it.id)) {
     const fleet::step_spec* spec = book_.find_step(run.task);
     if (spec == nullptr || spec->long_running()) continue;
-    release_option way{run, {}, 0, 0, false};
-    way.more.cpu = spec->fills() ? 0 : spec->cpu_milli();
-    way.more.memory_mb = spec->memory_mb();
-    way.more.accelerators = spec->accelerators();
-    way.seconds = detail::remaining_s(it, run, *spec, clock_.now());
+    release_option option{run, {}, 0, 0, false};
+    option.frees.cpu = spec->fills() ? 0 : spec->cpu_milli();
+    option.frees.memory_mb = spec->memory_mb();
+    option.frees.accelerators = spec->accelerators();
+    option.seconds = detail::remaining_s(it, run, *spec, clock_.now());
     const double cost = stop_s + eviction_cost(it, run);
     if (stopping.contains(run)) {
-      way.seconds = std::min(way.seconds, stop_s);
-    } else if (may_evict(run, priority) && cost < way.seconds) {
-      way.seconds = stop_s;
-      way.cost = cost - stop_s;
-      way.stop = true;
+      option.seconds = std::min(option.seconds, stop_s);
+    } else if (may_evict(run, priority) && cost < option.seconds) {
+      option.seconds = stop_s;
+      option.cost = cost - stop_s;
+      option.evict = true;
     }
-    ways.push_back(way);
+    options.push_back(option);
   }
-  std::stable_sort(ways.begin(), ways.end(), [](const auto& a, const auto& b) {
-    return a.seconds + a.cost < b.seconds + b.cost;
-  });
-  return ways;
+  std::stable_sort(options.begin(), options.end(),
+                   [](const auto& a, const auto& b) {
+                     return a.seconds + a.cost < b.seconds + b.cost;
+                   });
+  return options;
 }
 
-/// What one more task of the step lacks at a worker, beside what is kept for
-/// tasks as urgent.
+/// Capacity that a worker lacks for one more task of the step. Reservations of
+/// equal or higher priority count as taken.
 fleet_scheduler::resources fleet_scheduler::shortage(
     const worker_view& it, const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
@@ -160,30 +161,30 @@
   return need;
 }
 
-/// The first ways that make so much room within the limit, without those that
-/// the others make up for: what gives way needlessly is work thrown away. None
-/// where there aren't enough.
+/// The first options that free the needed capacity within the limit, or none.
+/// Options that the others make redundant are removed, since each needless
+/// eviction loses work.
 std::optional<fleet_scheduler::chosen_releases>
 fleet_scheduler::choose_releases(const resources& need,
-                                 const std::vector<release_option>& ways,
+                                 const std::vector<release_option>& options,
                                  milliseconds limit) {
   const double longest = static_cast<double>(limit.count()) / detail::ms_per_s;
   resources all;
   chosen_releases out;
-  for (const release_option& way : ways) {
-    const resources& more = way.more;
+  for (const release_option& option : options) {
+    const resources& more = option.frees;
     const bool helps =
         (all.cpu < need.cpu && more.cpu > 0) ||
         (all.memory_mb < need.memory_mb && more.memory_mb > 0) ||
         (all.accelerators < need.accelerators && more.accelerators > 0);
-    if (!helps || way.seconds > longest) continue;
+    if (!helps || option.seconds > longest) continue;
     all.add(more);
-    out.push_back(&way);
+    out.push_back(&option);
   }
   if (!all.covers(need)) return std::nullopt;
   for (size_t i = out.size(); i-- > 0;) {
     resources rest = all;
-    rest.take(out[i]->more);
+    rest.subtract(out[i]->frees);
     if (!rest.covers(need)) continue;
     all = rest;
     out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
@@ -191,13 +192,13 @@
   return out;
 }
 
-/// What it takes to make room at a worker; none where none can be made.
+/// How to free capacity for the step on a worker, if possible.
 std::optional<fleet_scheduler::reservation_plan>
 fleet_scheduler::plan_reservation(const worker_releases& worker,
                                   const resources& need,
                                   const pending_step& step,
                                   milliseconds limit) const {
-  worker_view& it = *worker.where;
+  worker_view& it = *worker.worker;
   if (!meets_constraints(it, step)) return std::nullopt;
   auto same = static_cast<uint32_t>(
       std::count_if(it.kept.begin(), it.kept.end(),
@@ -205,20 +206,21 @@
   same += it.load.of_step(step.first);
   const uint32_t spread = step.spec.anti_affinity();
   if (spread > 0 && same >= spread) return std::nullopt;
-  const auto chosen = choose_releases(need, worker.ways, limit);
+  const auto chosen = choose_releases(need, worker.options, limit);
   if (!chosen) return std::nullopt;
   reservation_plan out{&it, 0, 0, {}};
-  for (const release_option* way : *chosen) {
-    out.seconds = std::max(out.seconds, way->seconds);
-    out.cost += way->cost;
-    if (way->stop) out.stops.push_back(way->run);
+  for (const release_option* option : *chosen) {
+    out.seconds = std::max(out.seconds, option->seconds);
+    out.cost += option->cost;
+    if (option->evict) out.evictions.push_back(option->run);
   }
-  out.cost += out.seconds + detail::crowd_s * same -
-              detail::unlike_s * image_affinity(it, step.image);
+  out.cost += out.seconds + detail::same_step_s * same -
+              detail::image_mismatch_s * image_affinity(it, step.image);
   return out;
 }
 
-/// Room is kept no longer than for its time, its task, and its worker's use.
+/// Drops reservations that expired or lost their task or worker; returns how
+/// many are left.
 size_t fleet_scheduler::drop_stale() {
   std::map<task_key, uint32_t> wanted;
   size_t n = 0;
@@ -226,8 +228,8 @@
     const bool usable = is_usable(it);
     std::erase_if(it.kept, [&](const kept_room& kept) {
       if (!usable || kept.until <= clock_.now()) return true;
-      const auto [left, fresh] = wanted.try_emplace(kept.step);
-      if (fresh) left->second = unplaced(kept.step, true);
+      const auto [left, inserted] = wanted.try_emplace(kept.step);
+      if (inserted) left->second = unplaced(kept.step, true);
       if (left->second == 0) return true;
       --left->second;
       return false;
@@ -240,13 +242,13 @@
 
 std::optional<fleet_scheduler::reservation_plan> fleet_scheduler::best_plan(
     const pending_step& step, std::vector<worker_releases>& workers,
-    milliseconds limit, size_t& looks) const {
+    milliseconds limit, size_t& examined) const {
   std::optional<reservation_plan> best;
   for (worker_releases& it : workers) {
-    const resources need = shortage(*it.where, step);
-    // In a full fleet hardly a worker could hold it, whatever ends there.
-    if (!it.most.covers(need)) continue;
-    ++looks;
+    const resources need = shortage(*it.worker, step);
+    // In a full fleet few workers could fit the task even without short runs.
+    if (!it.total.covers(need)) continue;
+    ++examined;
     std::optional<reservation_plan> found =
         plan_reservation(it, need, step, limit);
     if (!found || (best && best->cost <= found->cost)) continue;
@@ -255,7 +257,7 @@
   return best;
 }
 
-/// The least urgent room, if it does not bind tasks of that priority.
+/// The least urgent reservation among those below that priority.
 std::optional<fleet_scheduler::reservation_ref>
 fleet_scheduler::find_less_urgent(uint32_t priority) {
   std::optional<reservation_ref> out;
@@ -271,62 +273,64 @@
   return out;
 }
 
-/// Less urgent rooms make way: they were not counted where the new one opens,
-/// and there are no more in all than may be.
-void fleet_scheduler::drop_less_urgent(worker_view& where, uint32_t priority,
-                                       reservation_round& look) {
-  look.made.all -= std::erase_if(
-      where.kept, [&](const auto& kept) { return !blocks(kept, priority); });
-  while (look.made.all >= look.most) {
-    const auto room = find_less_urgent(priority);
-    if (!room) return;
-    auto& kept = room->where->kept;
-    kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(room->at));
-    --look.made.all;
+/// Drops less urgent reservations on the worker, which the new plan ignored,
+/// and elsewhere while the limit on reservations is reached.
+void fleet_scheduler::drop_less_urgent(worker_view& worker, uint32_t priority,
+                                       reservation_round& round) {
+  round.result.total -= std::erase_if(
+      worker.kept, [&](const auto& kept) { return !blocks(kept, priority); });
+  while (round.result.total >= round.max_reservations) {
+    const auto found = find_less_urgent(priority);
+    if (!found) return;
+    auto& kept = found->worker->kept;
+    kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(found->index));
+    --round.result.total;
   }
 }
 
-void fleet_scheduler::reserve_for_step(const delayed_step& wait, uint32_t& have,
-                                       reservation_round& look) {
-  reservation_result& out = look.made;
-  if (have >= wait.tasks) return;
-  if (wait.fresh) {
+void fleet_scheduler::reserve_for_step(const delayed_step& wait,
+                                       uint32_t& reserved,
+                                       reservation_round& round) {
+  reservation_result& out = round.result;
+  if (reserved >= wait.tasks) return;
+  if (wait.never_started) {
     const job_entry& job = *book_.find(wait.first.job);
-    const uint64_t room = new_task_capacity(
+    const uint64_t available = new_task_capacity(
         book_.queue_of(job).pool(), wait.priority, tracking_of(wait.first.job));
-    if (room < wait.cpu) return;
+    if (available < wait.cpu) return;
   }
   if (no_reservation_until_.contains(wait.first)) {
-    out.left_alone += wait.tasks - have;
+    out.skipped += wait.tasks - reserved;
     return;
   }
-  // Estimates are often far off: what waited long takes the soonest room there
-  // is, else small tasks take it piece by piece.
-  const bool pressing = !wait.fresh && clock_.now() - wait.since >=
-                                           settings_.long_running_first_after;
+  // Estimates are often far off. Without a limit an overdue task gets the
+  // capacity that is free soonest, before small tasks take it piece by piece.
+  const bool overdue =
+      !wait.never_started &&
+      clock_.now() - wait.since >= settings_.long_running_first_after;
   const milliseconds limit =
-      pressing ? milliseconds::max() : settings_.reservation_ttl;
+      overdue ? milliseconds::max() : settings_.reservation_ttl;
   const pending_step step =
       pending_step_of(*book_.find(wait.first.job), wait.first, false);
-  for (; have < wait.tasks; ++have) {
-    if (look.choices >= look.most_choices) return;
-    if (out.all >= look.most && !find_less_urgent(wait.priority)) return;
-    ++look.choices;
-    const auto [workers, fresh] = look.ways.try_emplace(wait.priority);
-    if (fresh) workers->second = all_releases(wait.priority, look.stopping);
+  for (; reserved < wait.tasks; ++reserved) {
+    if (round.scans >= round.max_scans) return;
+    if (out.total >= round.max_reservations && !find_less_urgent(wait.priority))
+      return;
+    ++round.scans;
+    const auto [workers, inserted] = round.releases.try_emplace(wait.priority);
+    if (inserted) workers->second = all_releases(wait.priority, round.stopping);
     const auto best =
         best_plan(step, workers->second, limit, out.workers_examined);
     if (!best) {
-      out.without += wait.tasks - have;
-      if (no_reservation_until_.size() >= detail::most_left_alone) return;
+      out.unmet += wait.tasks - reserved;
+      if (no_reservation_until_.size() >= detail::max_paused_steps) return;
       no_reservation_until_[wait.first] =
-          clock_.now() + (pressing
-                              ? look.round
-                              : std::max(look.round, detail::left_alone_for));
+          clock_.now() +
+          (overdue ? round.cycle : std::max(round.cycle, detail::min_pause));
       return;
     }
-    drop_less_urgent(*best->where, wait.priority, look);
-    add_reservation(*best, step, workers->second, look);
+    drop_less_urgent(*best->worker, wait.priority, round);
+    add_reservation(*best, step, workers->second, round);
   }
 }
 
@@ -341,69 +345,68 @@
   reserved_at_ = now;
   std::erase_if(no_reservation_until_,
                 [&](const auto& it) { return it.second <= now; });
-  reservation_round look;
+  reservation_round round;
   pool_uses_.clear();
-  reservation_result& out = look.made;
-  look.stopping = stopping;
-  look.most =
+  reservation_result& out = round.result;
+  round.stopping = stopping;
+  round.max_reservations =
       std::max<size_t>(1, n * settings_.max_reserved_percent / detail::hundred);
-  look.most_choices = std::max<size_t>(
+  round.max_scans = std::max<size_t>(
       1, settings_.max_reservation_evaluations / std::max<size_t>(1, n));
-  out.all = drop_stale();
-  std::map<task_key, uint32_t> have;
+  out.total = drop_stale();
+  std::map<task_key, uint32_t> reserved;
   workers_.marks().with_rooms.review([&](const worker_view& it) {
-    for (const kept_room& room : it.kept) ++have[room.step];
+    for (const kept_room& room : it.kept) ++reserved[room.step];
     return !it.kept.empty();
   });
   milliseconds longest{0};
-  const std::vector<delayed_step> waits =
-      delayed_steps(settings_.reserve_after);
-  // Else the first ones, looked at again and again, would leave none to others.
-  // Half a round less, as the next round may come sooner than this one did.
-  look.round = std::min(passed, detail::left_alone_for) *
-                   (waits.size() / look.most_choices) +
-               std::min(passed, detail::left_alone_for) / 2;
-  for (const delayed_step& wait : waits) {
+  const std::vector<delayed_step> late = delayed_steps(settings_.reserve_after);
+  // Steps without a plan pause for a cycle; else the first ones would use up
+  // every round. The last round counts half, as it may begin earlier.
+  round.cycle =
+      std::min(passed, detail::min_pause) * (late.size() / round.max_scans) +
+      std::min(passed, detail::min_pause) / 2;
+  for (const delayed_step& wait : late) {
     longest = std::max(longest, now - wait.since);
-    reserve_for_step(wait, have[wait.first], look);
+    reserve_for_step(wait, reserved[wait.first], round);
   }
-  if (out.added + out.without + out.left_alone == 0) return out;
+  if (out.added + out.unmet + out.skipped == 0) return out;
   log_event(detail::service_name, log_level::info, "rooms-kept")
       .with("new", out.added)
-      .with("all", out.all)
-      .with("most", look.most)
-      .with("without", out.without)
-      .with("left-alone", out.left_alone)
+      .with("all", out.total)
+      .with("most", round.max_reservations)
+      .with("without", out.unmet)
+      .with("left-alone", out.skipped)
       .with("stops", out.evictions.size())
       .with("looks", out.workers_examined)
       .with("longest-wait-ms", longest.count());
   return out;
 }
 
-/// Notes the room, and that what is stopped for it gives way once only.
+/// Records a reservation and its evictions, so that no run is evicted twice.
 void fleet_scheduler::add_reservation(const reservation_plan& it,
                                       const pending_step& step,
                                       std::vector<worker_releases>& workers,
-                                      reservation_round& look) {
+                                      reservation_round& round) {
   const fleet::step_spec& spec = step.spec;
-  workers_.marks().with_rooms.add(*it.where);
-  it.where->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
-                            spec.accelerators(),
-                            clock_.now() + settings_.reservation_ttl});
-  ++look.made.all;
-  ++look.made.added;
-  for (const run_key& run : it.stops) {
-    look.made.evictions.push_back({run, step.first});
-    look.stopping.insert(run);
+  workers_.marks().with_rooms.add(*it.worker);
+  it.worker->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
+                             spec.accelerators(),
+                             clock_.now() + settings_.reservation_ttl});
+  ++round.result.total;
+  ++round.result.added;
+  for (const run_key& run : it.evictions) {
+    round.result.evictions.push_back({run, step.first});
+    round.stopping.insert(run);
   }
   for (worker_releases& other : workers) {
-    if (other.where != it.where) continue;
-    for (release_option& way : other.ways) {
-      const bool stopped = std::find(it.stops.begin(), it.stops.end(),
-                                     way.run) != it.stops.end();
+    if (other.worker != it.worker) continue;
+    for (release_option& option : other.options) {
+      const bool stopped = std::find(it.evictions.begin(), it.evictions.end(),
+                                     option.run) != it.evictions.end();
       if (!stopped) continue;
-      way.stop = false;
-      way.cost = 0;
+      option.evict = false;
+      option.cost = 0;
     }
   }
 }
--- a/fleet/scheduler-settings.h
+++ b/fleet/scheduler-settings.h
@@ -1,4 +1,4 @@
-// Limits and weights of placing and pacing.
+// Limits and weights of task placement and backfill pacing.
 #pragma once
 
 #include <chrono>
@@ -9,78 +9,79 @@
 
 namespace kestrelreel {
 
-/// The limits and weights of the choice.
+/// Limits and weights of the scheduler.
 struct scheduler_settings {
-  /// The share of a serving task's processors that it uses on average, in
-  /// percent: a little above the average load of services, 0.48.
+  /// Average use of a serving task's processors, in percent: slightly above the
+  /// average load of services, 0.48.
   unsigned serving_use_percent = 55;
-  /// A fill task starts where at least this share of its processors is left,
-  /// and where it may work at least at this pace.
+  /// A backfill task starts on a worker with at least this share of its
+  /// processors free, and where it may run at least at this pace.
   unsigned min_backfill_cpu_percent = 70;
   unsigned min_backfill_pace_percent = 50;
-  /// A serving task's target is kept where that costs no more fill work than so
-  /// many processors, of a worker with 32. Above it fill jobs that would be in
-  /// time come late for targets that are missed all the same: a fleet whose
-  /// fill jobs ask for all that serving tasks leave earned 0.44 at 10, 0.51 at
-  /// 3 to 12, 0.56 at 1.5 and 0.55 at 0 (worth, mean of five days).
+  /// Backfill processors that may be given up for one serving task's target, of
+  /// a worker with 32. Above it backfill jobs become late while targets are
+  /// missed all the same: a fleet with backfill demand for all free processors
+  /// earned a mean worth over five days of 0.44 at 10, 0.51 at 3 to 12, 0.56 at
+  /// 1.5 and 0.55 at 0.
   double max_backfill_loss_cores = 1.5;
-  /// A job of which nothing has run for so long starts one fill task wherever
-  /// it has room, even if it will hardly get on: the users allow 3 s.
+  /// A job without a running task for this long starts one backfill task on any
+  /// worker with capacity, however slow its pace: users allow 3 s.
   milliseconds starved_after{800};
-  /// A lasting job of which tasks have waited for so long goes before the short
-  /// ones of its priority: the users bear 6 s and 3 s more where there is room.
+  /// A long-running job with tasks pending for this long goes before the short
+  /// jobs of its priority: users tolerate 6 s, or 9 s where there is capacity.
   milliseconds long_running_first_after{4'500};
-  /// For a lasting task that waited for so long, room is kept where it comes
-  /// free soonest: a short task of the users' takes 0.64 s, so that a start
-  /// comes some 3 s after the wait began. It is looked for with a pause of so
-  /// much for each worker (a look takes 6 us), kept for so long at a time, and
-  /// for so many tasks per hundred workers (a task takes a fifth of one).
+  /// Capacity is reserved for a long-running task pending for this long, where
+  /// it is free soonest. Users' short tasks take 0.64 s, so the task starts
+  /// some 3 s after it became pending.
   milliseconds reserve_after{2'000};
-  /// The same for one that has not begun before: nobody was served by it yet.
+  /// The same for a task that never started, and so interrupted nobody.
   milliseconds reserve_new_after{3'000};
+  /// Pause between reservation rounds, per worker: examining one takes 6 us.
   std::chrono::microseconds reservation_pause_per_worker{500};
+  /// Lifetime of a reservation.
   milliseconds reservation_ttl{3'000};
-  /// Workers looked at each time, over all choices: 0.1 us each, which is 10 ms
-  /// of each 550 at 1,100 workers.
+  /// Worker evaluations per round, of 0.1 us each: at 1,100 workers 10 ms of
+  /// each 550.
   size_t max_reservation_evaluations = 100'000;
+  /// Reservations per hundred workers; a task takes a fifth of a worker.
   unsigned max_reserved_percent = 25;
-  /// Lasting tasks that have not begun before leave so much of what short jobs
-  /// ask for, in percent, and no more than that share of the workers: what
-  /// lasts takes each gap for good, so that tasks larger than the gaps that are
-  /// left find no room at all. Less than `least_kept` is left only to what has
-  /// waited for `kept_before_known`: a cluster's lasting tasks may come before
-  /// its first short job.
+  /// Long-running tasks that never started leave this much of the demand of
+  /// short jobs free, in percent. They occupy each gap for good, so that short
+  /// tasks larger than the other gaps would never fit.
   unsigned short_demand_percent = 130;
+  /// Upper bound of that capacity, in percent of the pool.
   unsigned max_short_percent = 35;
+  /// Lower bound for jobs pending for less than `short_demand_warmup`, since a
+  /// cluster's long-running tasks may arrive before its first short job.
   unsigned min_short_percent = 10;
   milliseconds short_demand_warmup{20'000};
-  /// The longest that a worker takes over a stop: the controller's own figure.
+  /// Longest time that a worker takes to stop a run; set by the controller.
   milliseconds worker_stop{0};
-  /// A step that found no room is tried again after so much for each worker:
-  /// looking through a worker takes 1 to 2 us, and a leader of 0.32 cores
-  /// should not spend more than some hundredths of it on steps that wait.
+  /// Retry pause, per worker, of a step that did not fit: an evaluation of a
+  /// worker takes 1 to 2 us, and a leader with 0.32 cores should spend only
+  /// some hundredths of them on pending steps.
   std::chrono::microseconds retry_per_worker{300};
-  /// All short steps that wait together cost no more than so many looks at
-  /// workers a second; with more of them each is tried again later. So many
-  /// were measured at 1,100 workers with a leader that just kept up (0.05 to
-  /// 0.1 us each); one that is behind makes up to four times fewer.
+  /// Worker evaluations per second for all pending short steps together; with
+  /// more steps each pauses longer. A leader that just keeps up at 1,100
+  /// workers makes this many (0.05 to 0.1 us each), a lagging one up to four
+  /// times fewer.
   uint64_t max_retry_evaluations_per_s = 4'000'000;
-  /// One plan looks at no more workers than that, some 10 ms of a core, so that
-  /// answers to workers don't wait for it; the less urgent steps have their
-  /// turn in the next one. Fewer, too, while the leader is behind.
+  /// Worker evaluations of one plan, some 10 ms of a core, so that answers to
+  /// workers are not delayed; less urgent steps are left to the next plan. A
+  /// lagging leader makes fewer.
   uint64_t max_plan_evaluations = 150'000;
-  /// A worker silent for longer gets no new work, once its call is overdue.
+  /// A worker silent for longer gets no new work once its call is overdue.
   milliseconds silent_limit{3'000};
-  /// Failed ends in a row, of at least two jobs, after which a worker is
+  /// Consecutive failed runs, of at least two jobs, after which a worker is
   /// avoided.
   unsigned avoid_after_failures = 3;
-  /// A call that has waited for longer counts as no open one: the log takes
-  /// some 25 ms, a turn of a leader that is behind up to 200, and the worker
-  /// turns elsewhere after 1,000.
+  /// A call held for longer no longer counts as open: a log write takes some
+  /// 25 ms, a turn of a lagging leader up to 200 ms, and the worker turns to
+  /// another box after 1,000 ms.
   milliseconds open_call_limit{600};
-  /// Where idle workers' calls are held, short steps are placed at so many of
-  /// them first, for a start at once, and at all others only for the rest: a
-  /// choice then costs the same however many workers there are.
+  /// Short steps are first placed on this many workers with an open call, which
+  /// get the start at once, and only then on all others. The cost of a
+  /// placement then does not grow with the number of workers.
   size_t max_open_candidates = 512;
 };
 
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -7,25 +7,25 @@
 namespace detail {
 
 constexpr unsigned percent = 100;
-/// A task away from its data takes longer; one rack in a few is near.
+/// Prefers the rack that holds the data: a task elsewhere takes longer.
 constexpr double rack_bonus = 1e6;
 /// Tasks of one step on one worker are lost together.
-constexpr double crowd_cost = 4'000;
-/// Serving tasks of one image bear the same fill tasks: kept together, they
-/// leave whole workers to fill tasks that others would suffer from. Above any
-/// room that is left over.
+constexpr double same_step_penalty = 4'000;
+/// Serving tasks of one image tolerate the same backfill tasks. Placed together
+/// they leave whole workers to backfill tasks that would disturb other images.
+/// Exceeds any free capacity.
 constexpr double image_bonus = 100'000;
-/// Workers whose serving tasks bear all fill tasks are kept for those that
-/// others suffer from; above any room that is left over.
-constexpr double spared_cost = 60'000;
-/// A worker that is slow from its start is taken when no other will do: those
-/// of a data centre that is taken back are all empty and would draw every task
-/// that waits. Above all but a task's data, which costs it as much.
-constexpr double cold_cost = 300'000;
-/// A task that was interrupted has spent most of what the users bear on its
-/// lease: above a place among others of its image.
-constexpr double late_call_cost = 200'000;
-/// Calls that come within this are as good as one that waits.
+/// Keeps workers whose serving tasks tolerate all backfill tasks for those that
+/// disturb others. Exceeds any free capacity.
+constexpr double spared_worker_penalty = 60'000;
+/// A worker that is still slow after its start is the last choice: workers of a
+/// data centre that rejoins are all empty and would attract every pending task.
+/// Exceeds all but `rack_bonus`, since a task away from its data loses as much.
+constexpr double cold_start_penalty = 300'000;
+/// An interrupted task has spent most of the tolerated outage waiting for its
+/// lease to end. Exceeds `image_bonus`.
+constexpr double late_call_penalty = 200'000;
+/// A call due within this time counts as an open one.
 constexpr milliseconds soon{300};
 
 }  // namespace detail
@@ -54,7 +54,7 @@
   return load;
 }
 
-/// The first reason for which the worker gets no new work; null for none.
+/// Why the worker gets no new work, as a log value; null if usable.
 const char* fleet_scheduler::exclusion_reason(const worker_view& it) const {
   const time_point now = clock_.now();
   if (!it.known) return "unheard";
@@ -91,7 +91,7 @@
          clock_.now() - it.asked + it.delay < settings_.open_call_limit;
 }
 
-/// Where the present plan may place tasks.
+/// Workers on which the current plan may place tasks.
 std::vector<worker_view*> fleet_scheduler::plan_candidates() {
   std::vector<worker_view*> all = candidates();
   if (only_open_)
@@ -99,7 +99,7 @@
   return all;
 }
 
-/// Workers whose call is held, those first that were heard last.
+/// Usable workers with an open call, the most recent first.
 std::vector<worker_view*> fleet_scheduler::open_candidates() {
   std::vector<worker_view*> all =
       workers_.marks().held_calls.last(settings_.max_open_candidates);
@@ -111,10 +111,10 @@
   return all;
 }
 
-/// True when nothing of a job that could run has run for long.
-bool fleet_scheduler::is_starved(const job_tracking& plan) const {
-  return plan.idle_since &&
-         clock_.now() - *plan.idle_since >= settings_.starved_after;
+/// True if no task of the job has run for `starved_after`.
+bool fleet_scheduler::is_starved(const job_tracking& tracking) const {
+  return tracking.idle_since &&
+         clock_.now() - *tracking.idle_since >= settings_.starved_after;
 }
 
 fleet_scheduler::job_tracking& fleet_scheduler::tracking_of(job_number number) {
@@ -123,28 +123,29 @@
   return it->second;
 }
 
-job_order fleet_scheduler::order_now(job_tracking& plan, const job_entry& job) {
+job_order fleet_scheduler::order_now(job_tracking& tracking,
+                                     const job_entry& job) {
   const time_point now = clock_.now();
-  job_order order = order_of(job, book_.queue_of(job), plan.accepted, now);
+  job_order order = order_of(job, book_.queue_of(job), tracking.accepted, now);
   if (order.standing != job_standing::long_running) return order;
-  if (!plan.pending_since) plan.pending_since = now;
-  if (now - *plan.pending_since < settings_.long_running_first_after)
+  if (!tracking.pending_since) tracking.pending_since = now;
+  if (now - *tracking.pending_since < settings_.long_running_first_after)
     return order;
-  order.deadline = *plan.pending_since;
+  order.deadline = *tracking.pending_since;
   order.standing = job_standing::in_time;
   if (!was_interrupted(job)) return order;
   order.standing = job_standing::interrupted;
-  order.size = smallest_task_cpu(job);
+  order.task_cpu = smallest_task_cpu(job);
   return order;
 }
 
-/// Notes what the job's tasks do; true when a step of it is worth a try. Most
-/// live jobs have nothing to place: to look at each in full took half of the
-/// planning at 1,100 workers.
+/// Updates the job's tracking; true if a step of it is to be tried now. Most
+/// live jobs have nothing to place, and a full evaluation of each took half of
+/// the planning time at 1,100 workers.
 bool fleet_scheduler::has_tasks_to_place(job_number number,
                                          const job_entry& job) {
-  job_tracking& plan = tracking_of(number);
-  if (!std::exchange(plan.demand_recorded, true)) {
+  job_tracking& tracking = tracking_of(number);
+  if (!std::exchange(tracking.demand_recorded, true)) {
     short_demand_.note(job.spec, book_.queue_of(job).priority(), clock_.now());
   }
   bool runs = false;
@@ -169,10 +170,10 @@
             may_fit_on_freed_worker(job.spec.steps(static_cast<int>(step)))));
     }
   }
-  if (!due) plan.pending_since.reset();
+  if (!due) tracking.pending_since.reset();
   if (!waits) return false;
-  if (runs) plan.idle_since.reset();
-  if (!runs && !plan.idle_since) plan.idle_since = clock_.now();
+  if (runs) tracking.idle_since.reset();
+  if (!runs && !tracking.idle_since) tracking.idle_since = clock_.now();
   return open;
 }
 
@@ -181,8 +182,9 @@
   for (const auto& [order, number] : book_.live()) {
     const job_entry& job = *book_.find(number);
     if (!has_tasks_to_place(number, job)) continue;
-    job_tracking& plan = tracking_of(number);
-    jobs.push_back({order_now(plan, job), number, &job, is_starved(plan)});
+    job_tracking& tracking = tracking_of(number);
+    jobs.push_back(
+        {order_now(tracking, job), number, &job, is_starved(tracking)});
   }
   std::stable_sort(jobs.begin(), jobs.end(), [](const auto& a, const auto& b) {
     return a.order < b.order;
@@ -263,8 +265,9 @@
          use(it.load.fill_cpu, detail::percent);
 }
 
-/// Room that is kept counts, unless for the step itself or a less urgent one:
-/// else an urgent task would wait beside what lies idle.
+/// True if a worker has free capacity for a task of the step. Reservations for
+/// the step itself or for less urgent ones count as free: else an urgent task
+/// would wait while the capacity is idle.
 bool fleet_scheduler::fits(const worker_view& it,
                            const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
@@ -278,8 +281,8 @@
            (spec.fills() || taken.cpu <= room.cpu_milli());
   };
   if (!has_room() || is_testing(it, step)) return false;
-  // A task that crashed the life before would crash this one, before it shows
-  // that the other is over.
+  // A task that crashed the previous incarnation could crash this one before
+  // the crash of the previous one is known.
   if (workers_.is_unsettled(it) && has_interrupted_tasks(step.first))
     return false;
   for (const kept_room& kept : it.kept) {
@@ -291,7 +294,7 @@
   return step.starved || allows_backfill(it, step);
 }
 
-/// True where a fill task would get on.
+/// True if a backfill task would make progress on the worker.
 bool fleet_scheduler::allows_backfill(const worker_view& it,
                                       const pending_step& step) const {
   const auto unfit = it.unfit_until.find(step.image);
@@ -306,8 +309,8 @@
              settings_.min_backfill_pace_percent;
 }
 
-/// 1 on a worker that serves only with this image, 0 on one that does not
-/// serve, and less than 0 the more it serves with others.
+/// 1 if all serving tasks of the worker have this image, 0 if there are none,
+/// else the negated share of those with other images.
 double fleet_scheduler::image_affinity(const worker_view& it,
                                        image_id image) const {
   uint32_t same = 0;
@@ -324,48 +327,48 @@
                               const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
   double score = static_cast<double>(expected_free_cpu(it));
-  score -= detail::crowd_cost * it.load.of_step(step.first);
+  score -= detail::same_step_penalty * it.load.of_step(step.first);
   const std::string& rack = spec.affinity_rack();
   if (!rack.empty() && has_label(it.beat, rack)) score += detail::rack_bonus;
   if (spec.fills()) {
     const double share = expected_share(it, step);
     score *= share;
-    const bool anywhere = share >= 1 && !tolerates_backfill(it);
-    if (anywhere) score += detail::spared_cost;
+    const bool undisturbed = share >= 1 && !tolerates_backfill(it);
+    if (undisturbed) score += detail::spared_worker_penalty;
   } else if (spec.target_ms() <= 0 && tolerates_backfill(it)) {
-    score -= detail::spared_cost;
+    score -= detail::spared_worker_penalty;
   }
-  if (is_cold(it)) score -= detail::cold_cost;
-  if (step.urgent && !calls_or_due_soon(it)) score -= detail::late_call_cost;
+  if (is_cold(it)) score -= detail::cold_start_penalty;
+  if (step.urgent && !calls_or_due_soon(it)) score -= detail::late_call_penalty;
   if (spec.target_ms() > 0) {
     score += detail::image_bonus * image_affinity(it, step.image);
   }
   return score;
 }
 
-/// Asked for each worker and step: the clock is read only where it matters.
+/// Called for each worker and step, so the clock is read only if needed.
 bool fleet_scheduler::is_cold(const worker_view& it) const {
   if (it.beat.cold_left_ms() == 0) return false;
   const milliseconds left(static_cast<int64_t>(it.beat.cold_left_ms()));
   return clock_.now() - it.told < left;
 }
 
-/// True where an order would go out at once, or nearly so. One whose call is
-/// late may be lost.
+/// True if the worker would get an order at once or within `soon`. A worker
+/// whose call is late may be lost.
 bool fleet_scheduler::calls_or_due_soon(const worker_view& it) const {
   if (it.respond) return has_open_call(it);
   const milliseconds left = it.call_due - clock_.now();
   return -detail::soon <= left && left <= detail::soon;
 }
 
-/// How well a task would stand on a worker; none where it must not run.
+/// Score of the worker for a task of the step; none if it must not run there.
 std::optional<double> fleet_scheduler::score_if_allowed(
     const pending_step& step, const worker_view& it) const {
   if (!fits(it, step) || !meets_constraints(it, step)) return std::nullopt;
   return score(it, step);
 }
 
-/// True when nothing but room may bar a task of the step from the worker.
+/// True if the worker satisfies all constraints of the step but capacity.
 bool fleet_scheduler::meets_constraints(const worker_view& it,
                                         const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -1,4 +1,4 @@
-// Which waiting task starts on which worker, and how hard fill tasks may work.
+// Assigns pending tasks to workers and paces backfill tasks.
 #pragma once
 
 #include <map>
@@ -21,64 +21,64 @@
 
 namespace kestrelreel {
 
-/// Decides; keeps only what it derives from the book and the workers.
+/// Makes all placement decisions of the leader. Its state is derived from the
+/// job book and the workers' heartbeats.
 class fleet_scheduler {
  public:
   fleet_scheduler(scheduler_settings settings, const job_book& book,
                   worker_table& workers, clock_source& clock)
       : settings_(settings), book_(book), workers_(workers), clock_(clock) {}
 
-  /// The starts that can be made now, the most urgent first; each is noted as
-  /// proposed at its worker. `wall_ms` is the time of day, for jobs that are
-  /// due at a time; until the next plan it is taken to go on from there.
-  /// With a stretch, in percent, for a leader that is behind, steps that wait
-  /// are tried again so much later, and only workers whose call waits for an
-  /// answer get any, so that no order lies in the book for longer than the log
-  /// and a turn take.
+  /// Returns the starts that are possible now, the most urgent first, and
+  /// records each as proposed at its worker. `wall_ms` is the time of day, for
+  /// jobs with a start time; it advances with the clock until the next plan.
+  /// A lagging leader passes `stretch_percent` above 100: retry pauses grow by
+  /// that factor, and only workers with an open call get tasks, so that no
+  /// order waits in the book for longer than a log write and a turn take.
   fleet::run_starts plan(uint64_t wall_ms, unsigned stretch_percent = 100);
-  /// True when the worker's call waits for an answer that it will still take.
+  /// True if the worker waits for an answer and will still accept one.
   bool has_open_call(const worker_view& it) const;
-  /// True when the last plan left steps to the next one.
+  /// True if the last plan left steps to the next one.
   bool cut_short() const { return cut_short_; }
-  /// Runs of fill tasks that are held back hard where they are, and could work
-  /// elsewhere; at most a few at a time.
+  /// Selects a few throttled backfill runs that should move to other workers.
   std::vector<run_key> moves();
-  /// What is taken of the worker.
+  /// Capacity used by the recorded, proposed and listed runs of the worker.
   worker_load load_of(const worker_view& it);
-  /// Learns from a heartbeat's readings and sets the pace of its fill tasks.
+  /// Updates the interference model from a heartbeat's readings and sets the
+  /// pace of the worker's backfill tasks.
   void pace(worker_view& it);
-  /// Forgets what belongs to a job that is over.
+  /// Drops all state of a job that is over.
   void forget(job_number job);
-  /// A run that gives way to a lasting task of that step.
+  /// A run to stop in favour of a long-running task of the step.
   struct eviction {
     run_key run;
     task_key step;
   };
   struct reservation_result {
-    // Rooms that are kept, those among them that are new, tasks for which there
-    // is none, and tasks of steps that were not looked at for a while.
-    size_t all = 0;
+    /// Reservations held, and how many of them are new.
+    size_t total = 0;
     size_t added = 0;
-    size_t without = 0;
-    size_t left_alone = 0;
-    // Workers that were looked at in full.
+    /// Tasks without a reservation, and tasks of steps in their retry pause.
+    size_t unmet = 0;
+    size_t skipped = 0;
+    /// Workers whose release options were examined in full.
     size_t workers_examined = 0;
     std::vector<eviction> evictions;
   };
-  /// Keeps room for lasting tasks that have waited too long, and tells which
-  /// runs are to be stopped for it; `stopping` are being stopped already.
+  /// Reserves capacity for long-running tasks that are pending for too long and
+  /// returns the runs to evict; runs in `stopping` have been told to stop.
   reservation_result reserve_capacity(const std::set<run_key>& stopping);
-  /// Logs what stands in the way of lasting tasks that have waited for more
-  /// than a second: once a second, and for a few steps at most.
+  /// Logs why long-running tasks have been pending for more than a second: at
+  /// most once a second, for a few steps.
   void report_waits();
-  /// How often a worker was looked at for a task since the last call.
+  /// Number of evaluations of a worker for a step since the last call.
   uint64_t take_worker_evaluations() { return std::exchange(evaluations_, 0); }
 
-  /// True for a task of which a start is proposed and not yet in the book.
+  /// True if a start of the task is proposed but not yet in the book.
   bool is_proposed(const task_key& task) const;
 
  private:
-  /// A step whose tasks are being placed.
+  /// A step whose tasks are to be placed.
   struct pending_step {
     const fleet::step_spec& spec;
     const std::string& pool;
@@ -86,14 +86,14 @@
     image_id image;
     bool starved;
     uint32_t priority;
-    // Lasting tasks of it were interrupted.
+    // The step has interrupted long-running tasks.
     bool urgent;
   };
   struct serving_task {
     run_key run;
     const fleet::step_spec* step;
     image_id image;
-    // Its tail's share of the target, and what that says of its load.
+    // Tail latency as a share of the target, and the load derived from it.
     double tail_share;
     double load;
   };
@@ -101,112 +101,108 @@
     run_key run;
     const fleet::step_spec* step;
     image_id image;
-    // Processors used by the reading, and at full pace, as of `fill_use`.
+    // Processors in use by the last reading, and at full pace, scaled to the
+    // reference worker.
     double use;
     double full_use;
-    double share;
+    double share;  // Allowed pace, of full pace.
   };
   struct waiting_job {
     job_order order;
     job_number number;
     const job_entry* entry;
-    // Nothing of it has run for long: one task starts wherever it can.
+    // No task has run for `starved_after`: one starts wherever there is room.
     bool starved;
   };
   struct placement {
     task_key task;
     run_number run;
-    worker_view* where;
+    worker_view* worker;
   };
-  /// What is kept of a live job beside the book.
+  /// Scheduling state of a live job that the book does not hold.
   struct job_tracking {
     time_point accepted;
-    // Since when a lasting job has had tasks that wait.
+    // Since when a long-running job has pending tasks.
     std::optional<time_point> pending_since;
-    // Since when it waits without anything running.
+    // Since when the job has pending tasks but none that runs.
     std::optional<time_point> idle_since;
-    // Its work is counted in what short jobs ask for.
+    // The job's work has been added to the short demand.
     bool demand_recorded = false;
   };
-
-  /// The processors of a pool's usable workers, and of what lasts there.
+  /// Usable workers of a pool, their processors, and the share of these that
+  /// long-running tasks hold, in thousandths of a core.
   struct pool_use {
     uint64_t workers = 0;
     uint64_t cpu = 0;
-    uint64_t lasting = 0;
+    uint64_t long_running = 0;
   };
-
-  /// What would come free on a worker if some of its runs gave way.
+  /// An amount of each kind of capacity; `cpu` in thousandths of a core.
   struct resources {
     uint64_t cpu = 0;
     uint64_t memory_mb = 0;
     uint64_t accelerators = 0;
 
     void add(const resources& it);
-    void take(const resources& it);
+    void subtract(const resources& it);
     bool covers(const resources& need) const;
   };
-  /// How a run there may come to its end: in how long, and at what loss.
+  /// How soon a run can release its capacity, by ending or by eviction, and
+  /// the work lost, in seconds of a long-running task.
   struct release_option {
     run_key run;
-    resources more;
+    resources frees;
     double seconds;
     double cost;
-    bool stop;
+    bool evict;
   };
   struct worker_releases {
-    worker_view* where;
-    std::vector<release_option> ways;
-    // What all of them would leave.
-    resources most;
+    worker_view* worker;
+    std::vector<release_option> options;
+    resources total;  // Of all options.
   };
   using chosen_releases = std::vector<const release_option*>;
   using releases_by_priority = std::map<uint32_t, std::vector<worker_releases>>;
-  /// Room that can be made at a worker: in how long, at what cost in all, and
-  /// by which stops.
+  /// A possible reservation: time until the capacity is free, cost, evictions.
   struct reservation_plan {
-    worker_view* where;
+    worker_view* worker;
     double seconds;
     double cost;
-    std::vector<run_key> stops;
+    std::vector<run_key> evictions;
   };
-  /// A step with lasting tasks that wait.
+  /// A step whose long-running tasks have been pending for too long.
   struct delayed_step {
     uint32_t priority;
     time_point since;
     task_key first;
     uint32_t tasks;
     uint64_t cpu;
-    // None of those counted more than in an earlier wait has begun before.
-    bool fresh;
+    // Includes tasks that never started; interrupted ones have an entry too.
+    bool never_started;
   };
-  /// One look for rooms: what is being stopped, how each worker's runs may end,
-  /// and how often all workers were looked at.
+  /// State of one pass over all delayed steps.
   struct reservation_round {
     std::set<run_key> stopping;
-    releases_by_priority ways;
-    size_t most = 0;
-    // Choices made, and how many may be.
-    size_t choices = 0;
-    size_t most_choices = 0;
-    // How long it takes until each wait had its turn.
-    milliseconds round{0};
-    reservation_result made;
+    releases_by_priority releases;
+    size_t max_reservations = 0;
+    size_t scans = 0;  // Of all workers.
+    size_t max_scans = 0;
+    // Time until every delayed step has had its turn.
+    milliseconds cycle{0};
+    reservation_result result;
   };
-  /// A room among those of a worker.
   struct reservation_ref {
-    worker_view* where;
-    size_t at;
+    worker_view* worker;
+    size_t index;
   };
-  /// What would come free at one worker without what does not last there.
+  /// Capacity that a worker's short tasks hold: backfill tasks, tasks of less
+  /// urgent queues, and all others.
   struct reclaimable {
-    worker_view* where;
-    resources fills;
-    resources lesser;
-    resources same;
+    worker_view* worker;
+    resources backfill;
+    resources less_urgent;
+    resources other;
   };
-
-  /// Workers that have room, or would without what does not last there.
+  /// Workers that fit a task now, or would without some of their short tasks.
   struct fit_counts {
     uint64_t usable = 0;
     uint64_t barred = 0;
@@ -245,7 +241,7 @@
   std::vector<placement> place_tasks(const waiting_job& job,
                                      const pending_step& step,
                                      std::vector<worker_view*>& all);
-  /// Workers by how well a task would stand there; of two alike the first.
+  /// Score and negated index: equal scores rank in the workers' order.
   using ranked = std::pair<double, std::ptrdiff_t>;
   using ranking = std::priority_queue<ranked>;
   ranking rank(const pending_step& step, const std::vector<worker_view*>& all);
@@ -254,7 +250,7 @@
                                          const std::vector<worker_view*>& all);
   static run_number last_run(const step_entry& step);
   static std::vector<uint32_t> placement_order(const step_entry& step);
-  // Tasks under which a worker crashed: suspects.cc.
+  // Suspects of worker crashes: suspects.cc.
   bool has_unproven_run(const worker_view& it) const;
   void record_suspect_trials();
   void record_suspect_trial(const worker_id& id, const task_key& task);
@@ -268,15 +264,15 @@
       const pending_step& step, const std::vector<worker_view*>& all);
   pool_use& pool_use_of(const std::string& pool);
   uint64_t new_task_capacity(const std::string& pool, uint32_t priority,
-                             const job_tracking& plan);
+                             const job_tracking& tracking);
   std::optional<double> score_if_allowed(const pending_step& step,
                                          const worker_view& it) const;
-  bool is_starved(const job_tracking& plan) const;
-  job_order order_now(job_tracking& plan, const job_entry& job);
+  bool is_starved(const job_tracking& tracking) const;
+  job_order order_now(job_tracking& tracking, const job_entry& job);
   bool retry_is_due(const task_key& step) const;
   std::vector<worker_view*> take_freed_workers();
   void count_evaluations(uint64_t n);
-  milliseconds retry_pause(size_t workers, bool lasts) const;
+  milliseconds retry_pause(size_t workers, bool long_running) const;
   bool may_fit_on_freed_worker(const fleet::step_spec& spec) const;
   bool fits_on_freed_worker(const job_entry& job, const task_key& first);
   bool fits(const worker_view& it, const pending_step& step) const;
@@ -284,14 +280,14 @@
   double score(const worker_view& it, const pending_step& step) const;
   double image_affinity(const worker_view& it, image_id image) const;
   int64_t expected_free_cpu(const worker_view& it) const;
-  // Pacing: pacing.cc.
+  // Pace of backfill tasks: pacing.cc.
   std::vector<serving_task> serving_tasks(const worker_view& it);
   std::vector<backfill_task> backfill_tasks(const worker_view& it);
   void update_model(worker_view& it, const serving_task& task,
                     const std::vector<image_use>& use);
   void throttle_backfill(const worker_view& it, const serving_task& task,
                          std::vector<backfill_task>& fills);
-  double added(image_id serving, const std::vector<image_use>& use) const;
+  double added_load(image_id serving, const std::vector<image_use>& use) const;
   double own_load(const task_key& serving, milliseconds ahead) const;
   void enforce_targets(worker_view& it,
                        const std::vector<serving_task>& serving,
@@ -302,11 +298,11 @@
                                   const std::vector<worker_view*>& all);
   bool tolerates_backfill(const worker_view& it) const;
   double expected_share(const worker_view& it, const pending_step& step) const;
-  // Lasting tasks that wait: waits.cc.
+  // Pending long-running tasks: delayed-steps.cc.
   std::optional<time_point> due_since(const job_entry& job,
                                       uint32_t time) const;
-  uint32_t unplaced(const task_key& first, bool fresh_too) const;
-  std::vector<delayed_step> delayed_steps(milliseconds least);
+  uint32_t unplaced(const task_key& first, bool include_new) const;
+  std::vector<delayed_step> delayed_steps(milliseconds min_wait);
   void add_delayed_steps(const job_entry& job, const task_key& first,
                          time_point since,
                          std::vector<delayed_step>& out) const;
@@ -318,11 +314,11 @@
                    const std::vector<reclaimable>& workers);
   const char* exclusion_reason(const worker_view& it) const;
   void report_processors();
-  void report_late_start(const placement& it, bool lasts);
+  void report_late_start(const placement& it, bool long_running);
   void report_if_barred(const pending_step& step,
                         const std::vector<worker_view*>& usable);
   bool meets_constraints(const worker_view& it, const pending_step& step) const;
-  // Room kept for them: kept-rooms.cc.
+  // Capacity reserved for these: reservations.cc.
   bool may_evict(const run_key& run, uint32_t priority) const;
   double eviction_cost(const worker_view& it, const run_key& run) const;
   uint32_t priority_of(const task_key& step) const;
@@ -334,24 +330,24 @@
   std::vector<worker_releases> all_releases(uint32_t priority,
                                             const std::set<run_key>& stopping);
   static std::optional<chosen_releases> choose_releases(
-      const resources& need, const std::vector<release_option>& ways,
+      const resources& need, const std::vector<release_option>& options,
       milliseconds limit);
   std::optional<reservation_plan> plan_reservation(
       const worker_releases& worker, const resources& need,
       const pending_step& step, milliseconds limit) const;
   std::optional<reservation_plan> best_plan(
       const pending_step& step, std::vector<worker_releases>& workers,
-      milliseconds limit, size_t& looks) const;
+      milliseconds limit, size_t& examined) const;
   void add_reservation(const reservation_plan& it, const pending_step& step,
                        std::vector<worker_releases>& workers,
-                       reservation_round& look);
+                       reservation_round& round);
   std::optional<reservation_ref> find_less_urgent(uint32_t priority);
-  void drop_less_urgent(worker_view& where, uint32_t priority,
-                        reservation_round& look);
+  void drop_less_urgent(worker_view& worker, uint32_t priority,
+                        reservation_round& round);
   size_t drop_stale();
   void release_reservation(worker_view& where, const task_key& step);
-  void reserve_for_step(const delayed_step& wait, uint32_t& have,
-                        reservation_round& look);
+  void reserve_for_step(const delayed_step& wait, uint32_t& reserved,
+                        reservation_round& round);
 
   scheduler_settings settings_;
   const job_book& book_;
@@ -359,46 +355,45 @@
   clock_source& clock_;
   interference_model model_;
   short_demand short_demand_;
-  // By pool, as of the present plan or look.
+  // By pool, cached for one plan or reservation pass.
   std::map<std::string, pool_use> pool_uses_;
-  // Of serving steps, by the key of their first task.
+  // Of serving steps, by first task.
   std::map<task_key, load_forecast> forecasts_;
   std::unordered_map<job_number, job_tracking> tracked_jobs_;
-  // Steps of which it was told that only evacuated workers could carry them.
+  // Steps logged as possible only on evacuated workers.
   std::set<task_key> reported_barred_;
-  // When a step that found no room is tried again, by its first task.
+  // Next attempt for a step that did not fit, by first task.
   std::map<task_key, time_point> retry_at_;
-  // Until when a step is left alone for which no room could be made.
+  // Next attempt for a step without a reservation, by first task.
   std::map<task_key, time_point> no_reservation_until_;
-  // Workers where runs ended since the last plan.
+  // Workers on which runs ended since the last plan.
   std::vector<worker_view*> freed_;
-  // The most that any of them has free of each kind.
+  // Largest free amount of each kind among them.
   resources freed_max_;
-  // Workers whose call is held, as of the present plan; filled by the first
-  // step that is tried there.
+  // Workers with an open call; filled by the first step of a plan.
   std::optional<std::vector<worker_view*>> open_workers_;
-  // Looks that the present plan may still make.
+  // Worker evaluations left to the current plan.
   uint64_t evaluations_left_ = 0;
   bool cut_short_ = false;
-  // Workers that were looked at for suspects: the next look goes on from there.
+  // Where the next scan for a suspect's worker begins.
   size_t suspect_scan_offset_ = 0;
   bool only_open_ = false;
   unsigned stretch_percent_ = 100;
-  // Tasks whose start is proposed and not yet in the book.
+  // Tasks whose start is proposed but not yet in the book.
   std::map<task_key, worker_id> proposed_;
-  // Workers on which suspects are being tried.
+  // Workers on which a suspect is being tried.
   std::vector<worker_id> suspect_workers_;
   time_point waits_reported_at_{};
   time_point reserved_at_{};
-  // The time of day, and when it was told.
+  // Time of day, and the clock time at which it was read.
   uint64_t wall_ms_ = 0;
   time_point wall_read_at_{};
-  // Where the last look for runs to move ended: the worker's ordinal.
+  // Ordinal of the worker at which the last search for moves ended.
   uint64_t last_move_ordinal_ = 0;
   uint64_t evaluations_ = 0;
 };
 
-/// True when the worker bears the label.
+/// True if the worker's heartbeat lists the label.
 bool has_label(const fleet::worker_beat& beat, const std::string& label);
 
 }  // namespace kestrelreel
--- a/fleet/short-demand.cc
+++ b/fleet/short-demand.cc
@@ -5,12 +5,12 @@
 namespace kestrelreel {
 namespace detail {
 
-/// Weighs what came so long ago by 1/e: about ten of the users' short jobs'
-/// times, and a third of their waves.
-constexpr double memory_ms = 5'000;
+/// Decay time constant: about ten run times of users' short jobs, and a third
+/// of the period of their arrival waves.
+constexpr double decay_time_ms = 5'000;
 
-/// Processor time of the steps that take room while they run and end by
-/// themselves, in ms of a thousandth of a core.
+/// Processor time of the steps that are neither long-running nor backfill, in
+/// thousandths of a core times ms.
 double work_of(const fleet::fleet_job_spec& job) {
   double work = 0;
   for (const fleet::step_spec& it : job.steps()) {
@@ -26,7 +26,7 @@
 
 double short_demand::decayed(const level& it, time_point now) {
   const auto passed = static_cast<double>((now - it.at).count());
-  return it.cpu * std::exp(-passed / detail::memory_ms);
+  return it.cpu * std::exp(-passed / detail::decay_time_ms);
 }
 
 void short_demand::note(const fleet::fleet_job_spec& job, uint32_t priority,
@@ -34,7 +34,7 @@
   const double work = detail::work_of(job);
   if (work == 0) return;
   level& it = levels_[priority];
-  it.cpu = decayed(it, now) + work / detail::memory_ms;
+  it.cpu = decayed(it, now) + work / detail::decay_time_ms;
   it.at = now;
 }
 
--- a/fleet/short-demand.h
+++ b/fleet/short-demand.h
@@ -1,4 +1,4 @@
-// How many processors the jobs that come and go ask for.
+// Estimates the processor demand of short jobs.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,15 @@
 
 namespace kestrelreel {
 
-/// The processors that short jobs ask for on average, by priority: the work of
-/// those that came, weighed less the longer ago that was. Pure.
+/// Exponentially decaying average of the processors that short jobs demand, by
+/// priority. Depends only on its arguments.
 class short_demand {
  public:
-  /// A job came; its steps that last or fill ask for nothing here.
+  /// Adds an accepted job; its long-running and backfill steps do not count.
   void note(const fleet::fleet_job_spec& job, uint32_t priority,
             time_point now);
-  /// Thousandths of a core that jobs at least as urgent ask for.
+  /// Demand of jobs with this priority or a more urgent one, in thousandths of
+  /// a core.
   uint64_t cpu_milli(uint32_t priority, time_point now) const;
 
  private:
--- a/fleet/waiting-steps.cc
+++ b/fleet/waiting-steps.cc
@@ -1,5 +1,5 @@
-// Which waiting steps are tried now, and what is left to those that wait: steps
-// that found no room, workers where runs ended, room for short jobs.
+// Decides which pending steps are tried now: retries of steps that did not fit,
+// workers with freed capacity, and the share set aside for short jobs.
 #include <algorithm>
 
 #include "fleet/scheduler.h"
@@ -13,38 +13,41 @@
 
 fleet_scheduler::pool_use& fleet_scheduler::pool_use_of(
     const std::string& pool) {
-  const auto [it, fresh] = pool_uses_.try_emplace(pool);
-  if (!fresh) return it->second;
+  const auto [it, inserted] = pool_uses_.try_emplace(pool);
+  if (!inserted) return it->second;
   for (const worker_view* worker : candidates()) {
     if (worker->beat.pool() != pool) continue;
     ++it->second.workers;
     it->second.cpu += worker->beat.cpu_milli();
-    it->second.lasting += worker->load.serving_cpu;
+    it->second.long_running += worker->load.serving_cpu;
   }
   return it->second;
 }
 
-/// What lasting tasks that have not begun before may take of the pool.
+/// Processors of the pool, in thousandths of a core, that are open to
+/// long-running tasks that never started.
 uint64_t fleet_scheduler::new_task_capacity(const std::string& pool,
                                             uint32_t priority,
-                                            const job_tracking& plan) {
+                                            const job_tracking& tracking) {
   const time_point now = clock_.now();
   const pool_use& use = pool_use_of(pool);
   const auto share = [&](unsigned n) { return use.cpu * n / detail::percent; };
-  const uint64_t asked = short_demand_.cpu_milli(priority, now) *
-                         settings_.short_demand_percent / detail::percent;
-  uint64_t kept = std::min(asked, share(settings_.max_short_percent));
-  const bool unknown = plan.pending_since && now - *plan.pending_since <
-                                                 settings_.short_demand_warmup;
-  if (unknown) kept = std::max(kept, share(settings_.min_short_percent));
-  // Whole workers: the rest of one is no room for a large task.
-  const uint64_t worker =
+  const uint64_t demand = short_demand_.cpu_milli(priority, now) *
+                          settings_.short_demand_percent / detail::percent;
+  uint64_t reserved = std::min(demand, share(settings_.max_short_percent));
+  const bool unknown =
+      tracking.pending_since &&
+      now - *tracking.pending_since < settings_.short_demand_warmup;
+  if (unknown)
+    reserved = std::max(reserved, share(settings_.min_short_percent));
+  // Whole workers only: a part of one does not fit a large task.
+  const uint64_t per_worker =
       std::max<uint64_t>(1, use.cpu / std::max<uint64_t>(1, use.workers));
-  kept -= kept % worker;
-  return use.cpu - std::min(use.cpu, use.lasting + kept);
+  reserved -= reserved % per_worker;
+  return use.cpu - std::min(use.cpu, use.long_running + reserved);
 }
 
-/// A step that found no room is left alone for a while.
+/// True unless the step recently did not fit and its retry pause lasts.
 bool fleet_scheduler::retry_is_due(const task_key& step) const {
   const auto it = retry_at_.find(step);
   return it == retry_at_.end() || clock_.now() >= it->second;
@@ -73,7 +76,7 @@
   return out;
 }
 
-/// False where none of the workers could hold a task of the step.
+/// False if no freed worker can have enough capacity for a task of the step.
 bool fleet_scheduler::may_fit_on_freed_worker(
     const fleet::step_spec& spec) const {
   if (freed_.empty() || spec.fills() || spec.gang()) return false;
@@ -81,9 +84,9 @@
       {spec.cpu_milli(), spec.memory_mb(), spec.accelerators()});
 }
 
-/// A step that found no room is looked at again at once where runs have ended
-/// since: else the worker's answer goes out without a start, and the room lies
-/// idle until its next heartbeat. Fill tasks need no room that others leave.
+/// Retries a step at once on workers on which runs ended since: else the answer
+/// to the worker would carry no start, and the capacity would stay idle until
+/// the next heartbeat. Backfill tasks do not wait for freed capacity.
 bool fleet_scheduler::fits_on_freed_worker(const job_entry& job,
                                            const task_key& first) {
   const fleet::step_spec& spec = job.spec.steps(static_cast<int>(first.step));
@@ -95,12 +98,13 @@
   });
 }
 
-/// Lasting tasks are owed their place: only short steps wait for their turn.
-milliseconds fleet_scheduler::retry_pause(size_t workers, bool lasts) const {
+/// Only short steps pause longer as more steps wait; long-running ones do not.
+milliseconds fleet_scheduler::retry_pause(size_t workers,
+                                          bool long_running) const {
   constexpr uint64_t ms_per_s = 1'000;
   const milliseconds alone = std::chrono::duration_cast<milliseconds>(
       settings_.retry_per_worker * workers);
-  if (lasts) return alone;
+  if (long_running) return alone;
   const milliseconds in_turn(
       static_cast<int64_t>(retry_at_.size() * workers * ms_per_s /
                            settings_.max_retry_evaluations_per_s));
