--- a/fleet/delayed-steps.cc
+++ b/fleet/delayed-steps.cc
@@ -148,17 +148,18 @@
       ++out.barred;
       continue;
     }
-    resources room;
-    room.cpu = rest(worker.beat.cpu_milli(), worker.load.cpu);
-    room.memory_mb = rest(worker.beat.memory_mb(), worker.load.memory_mb);
-    out.most_cpu = std::max(out.most_cpu, room.cpu);
-    out.most_memory = std::max(out.most_memory, room.memory_mb);
-    if (room.cpu >= spec.cpu_milli()) ++out.fit_cpu;
-    if (room.memory_mb >= spec.memory_mb()) ++out.fit_memory;
+    resources available;
+    available.cpu = rest(worker.beat.cpu_milli(), worker.load.cpu);
+    available.memory_mb = rest(worker.beat.memory_mb(), worker.load.memory_mb);
+    out.most_cpu = std::max(out.most_cpu, available.cpu);
+    out.most_memory = std::max(out.most_memory, available.memory_mb);
+    if (available.cpu >= spec.cpu_milli()) ++out.fit_cpu;
+    if (available.memory_mb >= spec.memory_mb()) ++out.fit_memory;
     const auto fits_with = [&](const resources& more) -> uint64_t {
-      room.cpu += more.cpu;
-      room.memory_mb += more.memory_mb;
-      return room.cpu >= spec.cpu_milli() && room.memory_mb >= spec.memory_mb();
+      available.cpu += more.cpu;
+      available.memory_mb += more.memory_mb;
+      return available.cpu >= spec.cpu_milli() &&
+             available.memory_mb >= spec.memory_mb();
     };
     out.fit += fits_with({});
     out.without_fills += fits_with(it.backfill);
@@ -203,7 +204,7 @@
     }
     all.cpu += it.beat.cpu_milli();
     taken.cpu += it.load.cpu;
-    for (const kept_room& room : it.kept) reserved.cpu += room.cpu;
+    for (const kept_room& entry : it.kept) reserved.cpu += entry.cpu;
     for (const run_key& run : book_.runs_on(id)) {
       const fleet::step_spec* step = book_.find_step(run.task);
       if (step == nullptr || step->fills() || it.rows.contains(run)) continue;
@@ -274,9 +275,9 @@
 void fleet_scheduler::release_reservation(worker_view& worker,
                                           const task_key& step) {
   const auto drop = [&](worker_view& it) {
-    const auto kept =
-        std::find_if(it.kept.begin(), it.kept.end(),
-                     [&](const kept_room& room) { return room.step == step; });
+    const auto kept = std::find_if(
+        it.kept.begin(), it.kept.end(),
+        [&](const kept_room& entry) { return entry.step == step; });
     if (kept == it.kept.end()) return false;
     it.kept.erase(kept);
     return true;
--- a/fleet/interference.cc
+++ b/fleet/interference.cc
@@ -71,8 +71,8 @@
   estimate& it = estimates_[serving.value()];
   for (const image_use& fill : use) {
     const bool known = index_of(it, fill.image) != detail::no_index;
-    const bool room = it.mean.size() < detail::max_images;
-    if (!known && room) add_image(it, fill.image);
+    const bool below_limit = it.mean.size() < detail::max_images;
+    if (!known && below_limit) add_image(it, fill.image);
   }
   std::vector<double> x(it.mean.size(), 0.0);
   for (const image_use& fill : use) {
--- a/fleet/job-order-test.cc
+++ b/fleet/job-order-test.cc
@@ -1,4 +1,4 @@
-// Which waiting job goes first.
+// Order of pending jobs.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -8,10 +8,10 @@
 
 TEST_GROUP(job_order){
     // Two steps of 1 s each; the objective is 2 x 2 s + 1 s.
-    static job_entry make_job(bool lasts = false){job_entry job;
+    static job_entry make_job(bool long_running = false){job_entry job;
 for (int i = 0; i < 2; ++i) {
   fleet::step_spec step = test_world::make_step(2);
-  step.set_long_running(lasts);
+  step.set_long_running(long_running);
   if (i > 0) step.add_depends_on(0);
   *job.spec.add_steps() = step;
 }
@@ -25,7 +25,7 @@
 }
 ;
 
-TEST(job_order, standing_follows_what_is_left_to_do) {
+TEST(job_order, standing_follows_the_remaining_work) {
   struct row {
     int passed_ms;
     uint32_t done;
@@ -39,33 +39,34 @@
   for (const row& it : rows) {
     job_entry job = make_job();
     job.times[0][0].done = it.done;
-    const time_point came(50'000);
+    const time_point accepted(50'000);
     const job_order order =
-        order_of(job, queue(), came, came + milliseconds(it.passed_ms));
+        order_of(job, queue(), accepted, accepted + milliseconds(it.passed_ms));
     STRCMP_EQUAL(to_string(it.standing), to_string(order.standing));
     LONGS_EQUAL(55'000, order.deadline.count());
   }
 }
 
 TEST(job_order, jobs_that_can_be_in_time_go_before_those_that_cannot) {
-  const time_point came(50'000);
+  const time_point accepted(50'000);
   const time_point now(54'000);
-  const job_order missed = order_of(make_job(), queue(), came, now);
+  const job_order missed = order_of(make_job(), queue(), accepted, now);
   const job_order fresh = order_of(make_job(), queue(), now, now);
-  const job_order lasting = order_of(make_job(true), queue(), came, now);
+  const job_order long_running =
+      order_of(make_job(true), queue(), accepted, now);
   fleet::queue_route urgent = queue();
   urgent.set_priority(0);
   fleet::queue_route later = queue();
   later.set_priority(2);
   CHECK_TRUE(fresh < missed);
-  CHECK_TRUE(fresh < lasting);
-  CHECK_TRUE(lasting < missed);
-  CHECK_TRUE(order_of(make_job(), urgent, came, now) <
+  CHECK_TRUE(fresh < long_running);
+  CHECK_TRUE(long_running < missed);
+  CHECK_TRUE(order_of(make_job(), urgent, accepted, now) <
              order_of(make_job(), later, now, now));
 }
 
-// A worker with room for one: the older job has missed its objective, the
-// younger one can still keep its own.
+// Guards against an overdue job taking the only free capacity from a younger
+// job that can still meet its objective.
 TEST(job_order, missed_job_does_not_make_others_miss) {
   test_world world;
   world.configure();
@@ -82,8 +83,8 @@
   LONGS_EQUAL(3, orders.starts(0).task().job());
 }
 
-// Seen on lsa-floodwatch-grown mix, seed 246231979598: short jobs took each
-// place as it became free, and a serving task waited for 9 s.
+// Guards against starvation of serving tasks: short jobs took all capacity as
+// it became free, and a serving task waited for 9 s.
 TEST(job_order, serving_task_that_waited_long_goes_first) {
   for (const int waited_ms : {1'000, 5'000}) {
     test_world world;
--- a/fleet/load-replay-test.cc
+++ b/fleet/load-replay-test.cc
@@ -1,4 +1,4 @@
-// Loads played through the leader's decisions: what a way of deciding earns.
+// Replays emulated loads through the scheduler and checks the worth earned.
 #include <CppUTest/TestHarness.h>
 
 #include "support/emulator/emulator.h"
@@ -9,7 +9,7 @@
 
 constexpr uint64_t seeds = 4;
 
-/// The share of their worth that jobs of a kind earn, over all seeds.
+/// Share of their worth that jobs of a kind earn, over all seeds.
 double earned(const char* pattern, const char* kind,
               const scheduler_settings& settings) {
   emulator::kind_outcome sum;
@@ -26,8 +26,8 @@
 
 TEST_GROUP(load_replay){};
 
-// Fill jobs that ask for all that serving tasks leave: at 3 to 12 processors
-// for a target more of them come late.
+// Backfill demand for all free processors: if a target may cost 3 to 12
+// processors, more backfill jobs are late.
 TEST(load_replay, fill_jobs_are_in_time_beside_serving_tasks) {
   struct row {
     double max_backfill_loss_cores;
@@ -44,7 +44,7 @@
   }
 }
 
-// Where there is room for all, all are in time.
+// With enough capacity for all jobs, all are in time.
 TEST(load_replay, calm_load_is_served_whole) {
   CHECK_TRUE(earned("calm", "fill", {}) >= 0.97);
   CHECK_TRUE(earned("calm", "short", {}) >= 0.97);
@@ -59,8 +59,8 @@
   DOUBLES_EQUAL(a.over_s, b.over_s, 0);
 }
 
-// A job with a task that crashes workers ends before the users' budget is
-// spent, three crashes and two starts more, and no other job does.
+// A job with a task that crashes workers is given up within the users' budget,
+// three crashes and two more starts, and no other job is.
 TEST(load_replay, crashing_jobs_are_given_up_and_no_others) {
   constexpr unsigned most_crashes = 5;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
--- a/fleet/reservation-rounds-test.cc
+++ b/fleet/reservation-rounds-test.cc
@@ -1,4 +1,4 @@
-// Lasting tasks that press for room were looked at in every other round only.
+// Guards against overdue long-running tasks being skipped in every other round.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/reservation-test-world.h"
@@ -8,11 +8,11 @@
 TEST_GROUP(reservation_rounds) {
   reservation_world world;
 
-  uint64_t looks() {
+  uint64_t examined() {
     return world.metrics.counter("kestrelreel_room_looks_total");
   }
-  /// One of two tasks that may not share a worker fails, and the other has the
-  /// only worker that is left.
+  /// Fails one of two tasks that may not share a worker while the other runs on
+  /// the only worker left.
   void interrupt_one_of_two() {
     fleet::step_spec step = make_long_running(2, 1'000);
     step.set_anti_affinity(1);
@@ -31,8 +31,8 @@
   }
 };
 
-TEST(reservation_rounds, pressing_step_is_looked_at_in_each_round) {
-  // Rounds are 0.5 ms for each worker apart, at the least.
+TEST(reservation_rounds, overdue_step_is_examined_in_each_round) {
+  // Rounds are at least 0.5 ms per worker apart.
   constexpr int others = 1'100;
   const milliseconds pauses[] = {milliseconds(600), milliseconds(560)};
   world.add_other_pool_workers(others);
@@ -45,11 +45,11 @@
   }
   constexpr int rounds = 10;
   for (int i = 0; i < rounds; ++i) {
-    const uint64_t before = looks();
+    const uint64_t before = examined();
     world.clock.advance(pauses[i % 2]);
     world.controller.tick();
     world.commit();
     world.heartbeat("a");
-    CHECK_TRUE(looks() > before);
+    CHECK_TRUE(examined() > before);
   }
 }
--- a/fleet/reservation-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -1,5 +1,5 @@
-// What the tests of kept rooms share: two queues, and workers that end at once
-// what they are told to stop.
+// Shared by the tests of capacity reservations: two queues, and workers that
+// end runs as soon as they are told to stop them.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 constexpr uint64_t long_running_job = 2;
 constexpr uint64_t other_job = 3;
 constexpr milliseconds step_time{200};
-/// Tasks that never began wait for 3 s before room is kept.
+/// Covers the 3 s before capacity is reserved for a task that never started.
 constexpr milliseconds until_reserved{4'000};
 
-/// Two queues, and workers that end at once what they are told to stop.
+/// Two queues, and workers that end runs as soon as they are told to stop them.
 class reservation_world : public test_world {
  public:
   explicit reservation_world(milliseconds stop = milliseconds(200),
-                             size_t worker_looks = 100'000)
-      : test_world(make_timed(this, stop, worker_looks)) {
+                             size_t max_evaluations = 100'000)
+      : test_world(make_timed(this, stop, max_evaluations)) {
     fleet::fleet_config config = make_config(1);
     fleet::queue_route low = config.queues(0);
     low.set_name("low");
@@ -40,7 +40,7 @@
     ask(request);
   }
 
-  /// A job of so many times, 2 s apart, the first of which is due in that time.
+  /// Submits a job with repetitions 2 s apart, the first due after `ahead`.
   void submit_scheduled(milliseconds ahead, uint32_t times, uint64_t job,
                         const fleet::step_spec& step) {
     fleet::fleet_request request = make_submit(job, {step});
@@ -51,7 +51,7 @@
     ask(request);
   }
 
-  /// They count among the workers, but carry nothing of the queues' pool.
+  /// Adds workers of another pool, which get no tasks of the queues.
   void add_other_pool_workers(int n) {
     for (int i = 0; i < n; ++i) {
       const std::string name = "other" + std::to_string(i);
@@ -76,7 +76,7 @@
     }
   }
 
-  /// The worker gets those tasks and works on them.
+  /// Submits the step and lets the worker start its tasks.
   void occupy(const std::string& name, bool low, uint64_t job,
               const fleet::step_spec& step) {
     heartbeat(name);
@@ -88,8 +88,8 @@
   size_t reservations(uint64_t job) {
     size_t n = 0;
     for (const auto& [id, it] : controller.workers().views()) {
-      for (const kept_room& room : it.kept) {
-        n += room.step.job == job_number(job) ? 1U : 0U;
+      for (const kept_room& entry : it.kept) {
+        n += entry.step.job == job_number(job) ? 1U : 0U;
       }
     }
     return n;
@@ -108,13 +108,13 @@
   int stops = 0;
 
  private:
-  /// The time of day goes on with the virtual clock.
+  /// The time of day advances with the virtual clock.
   static controller_settings make_timed(reservation_world* it,
                                         milliseconds stop,
-                                        size_t worker_looks) {
+                                        size_t max_evaluations) {
     controller_settings settings = make_settings();
     settings.worker_stop = stop;
-    settings.scheduling.max_reservation_evaluations = worker_looks;
+    settings.scheduling.max_reservation_evaluations = max_evaluations;
     settings.wall_clock_ms = [it] {
       return static_cast<uint64_t>(it->clock.now().count());
     };
@@ -122,7 +122,7 @@
   }
 };
 
-/// Short tasks that go on, and still take so long by all that is known.
+/// Short tasks with an estimate of `ms`; they run until a test ends them.
 inline fleet::step_spec make_short(uint32_t count, uint64_t cpu, uint64_t ms) {
   fleet::step_spec step = test_world::make_step(count, cpu);
   step.set_memory_mb(10);
@@ -137,8 +137,8 @@
   return step;
 }
 
-/// Two tasks that leave too little memory for `make_large`, and that lose
-/// little by a stop.
+/// Two tasks that leave too little memory for `make_large` and lose little work
+/// when evicted.
 inline fleet::step_spec make_batch(bool fills) {
   fleet::step_spec step = test_world::make_step(2, 500);
   step.set_memory_mb(450);
--- a/fleet/reservation-test.cc
+++ b/fleet/reservation-test.cc
@@ -1,4 +1,5 @@
-// Rooms kept for lasting tasks that wait: whom they bar, what gives way.
+// Reservations for long-running tasks: which tasks they block and which runs
+// are evicted.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -9,9 +10,8 @@
 
 TEST_GROUP(capacity_reservations){};
 
-// Both fill tasks of a worker were stopped for a lasting job that was not due
-// yet: the wait was counted from the job's coming, and what looked for waits
-// asked for the steps' dependencies, not for the time.
+// Guards against evictions for a job that is not due yet: its wait was counted
+// from acceptance, and only dependencies were checked, not the start time.
 TEST(capacity_reservations, wait_begins_when_the_task_is_due) {
   reservation_world world;
   world.occupy("a", false, short_job, make_batch(true));
@@ -20,7 +20,7 @@
   world.submit_scheduled(ahead, 2, long_running_job, make_large());
   world.run_for(ahead + milliseconds(2'600));
   LONGS_EQUAL(0, world.stops);
-  // The second time is due 2 s after the first.
+  // The second repetition is due 2 s after the first.
   for (int i = 1; i <= 2; ++i) {
     world.run_for(milliseconds(2'000));
     LONGS_EQUAL(i, world.stops);
@@ -28,8 +28,7 @@
   }
 }
 
-TEST(capacity_reservations,
-     lasting_job_goes_before_short_ones_by_its_wait_since_due) {
+TEST(capacity_reservations, long_running_job_goes_first_by_its_wait_since_due) {
   reservation_world world;
   world.occupy("a", false, short_job, make_short(1, 4'000, 1'000));
   constexpr milliseconds ahead{10'000};
@@ -44,14 +43,14 @@
   LONGS_EQUAL(0, world.running(long_running_job));
 }
 
-// Urgent short tasks lay beside free processors that were kept for a less
-// urgent lasting task; and processors were kept for tasks that could not have
-// them within the 3 s that a room is kept, by a run with 20 s to go.
+// Guards against reservations that block more urgent short tasks, and against
+// reservations on capacity that a run with 20 s left does not free within their
+// lifetime of 3 s.
 TEST(capacity_reservations,
-     room_bars_no_more_urgent_task_and_comes_free_while_kept) {
+     reservation_blocks_no_more_urgent_task_and_is_free_in_time) {
   struct row {
     const char* name;
-    bool low_room;
+    bool low_reservation;
     bool low_task;
     uint64_t takes_ms;
     size_t reservations;
@@ -65,7 +64,8 @@
   for (const row& it : rows) {
     reservation_world world;
     world.occupy("a", false, short_job, make_short(1, 3'000, it.takes_ms));
-    world.submit_to(it.low_room, long_running_job, make_long_running(1, 2'000));
+    world.submit_to(it.low_reservation, long_running_job,
+                    make_long_running(1, 2'000));
     world.run_for(until_reserved);
     LONGS_EQUAL_TEXT(it.reservations, world.reservations(long_running_job),
                      it.name);
@@ -75,10 +75,9 @@
   }
 }
 
-// Room went to small lasting tasks of a less urgent queue first. The one that
-// was urgent got none: the others' rooms counted against it, and there were as
-// many as may be kept.
-TEST(capacity_reservations, the_most_urgent_wait_gets_room_first) {
+// Guards against small tasks of a less urgent queue taking all reservations:
+// these counted against the urgent task and used up the limit.
+TEST(capacity_reservations, most_urgent_task_gets_a_reservation_first) {
   for (const bool low_first : {false, true}) {
     reservation_world world;
     world.occupy("a", false, short_job, make_short(4, 1'000, 2'000));
@@ -92,7 +91,7 @@
     if (!low_first) world.submit_to(true, long_running_job, small);
     world.run_for(until_reserved);
     LONGS_EQUAL(1, world.reservations(other_job));
-    // No more rooms than one worker may keep.
+    // One worker allows one reservation.
     LONGS_EQUAL(0, world.reservations(long_running_job));
     for (uint32_t i = 0; i < 4; ++i) {
       world.end("a", to_ref({job_number(short_job), 0, 0, i}), 1,
@@ -104,8 +103,9 @@
   }
 }
 
-// Fill tasks of an urgent queue were stopped for a less urgent lasting task.
-TEST(capacity_reservations, runs_give_way_to_what_is_urgent_enough) {
+// Guards against evicting backfill tasks of an urgent queue for a less urgent
+// long-running task.
+TEST(capacity_reservations, runs_are_evicted_for_tasks_urgent_enough) {
   struct row {
     const char* name;
     bool fills;
@@ -131,9 +131,9 @@
   }
 }
 
-// Three runs were stopped where one of them would have done: those that cost
-// least were taken first, and kept when a later one made the room by itself.
-TEST(capacity_reservations, no_more_is_stopped_than_needed) {
+// Guards against needless evictions: three runs were evicted where one was
+// enough, as cheap runs stayed chosen after a later one freed enough alone.
+TEST(capacity_reservations, no_needless_evictions) {
   reservation_world world;
   fleet::step_spec small = make_short(2, 500, 60'000);
   small.set_saves_progress(true);
@@ -150,9 +150,9 @@
   LONGS_EQUAL(1, world.running(long_running_job));
 }
 
-// How long a stop takes was fixed at 0.9 s where room is looked for, whatever
-// the users' bound.
-TEST(capacity_reservations, a_stop_takes_as_long_as_is_set) {
+// Guards against a fixed stop time of 0.9 s in the search, whatever the
+// configured bound.
+TEST(capacity_reservations, search_uses_the_configured_stop_time) {
   struct row {
     milliseconds stop;
     int stops;
@@ -167,14 +167,11 @@
   }
 }
 
-// A step for which no room could be made was looked for at all workers again
-// with each look, as was each other such step: the work had no bound.
-// Of 283 workers two would have had room without their short tasks, for 3 s,
-// and an interrupted task waited for 10.1 s: by their estimates the short tasks
-// were to take longer than a room is kept, so that none was, and others took
-// what they left.
+// Guards against an interrupted task that gets no reservation because the short
+// tasks' estimates exceed its lifetime: with 2 suitable workers of 283 for 3 s,
+// a task waited for 10.1 s while others took the freed capacity.
 TEST(capacity_reservations,
-     task_that_waited_long_gets_room_however_long_it_may_take) {
+     overdue_task_gets_a_reservation_beyond_its_lifetime) {
   reservation_world world;
   world.occupy("b", false, long_running_job, make_long_running(1, 3'000));
   world.occupy("a", false, short_job, make_short(1, 4'000, 60'000));
@@ -194,14 +191,15 @@
   LONGS_EQUAL(1, world.running(long_running_job));
 }
 
-TEST(capacity_reservations,
-     a_step_without_an_opening_is_left_alone_for_a_while) {
+// Guards against unbounded work: every round examined all workers again for
+// each step without a reservation.
+TEST(capacity_reservations, step_without_a_plan_pauses_before_the_next_try) {
   reservation_world world;
   world.occupy("a", false, short_job, make_short(1, 3'000, 60'000));
   world.submit_to(false, long_running_job, make_long_running(1, 2'000));
   world.run_for(milliseconds(3'200));
   LONGS_EQUAL(1, world.running(short_job));
-  // As good as done: room comes free in less than a second.
+  // Nearly done: the capacity is free in less than a second.
   world.workers["a"].mutable_running(0)->set_percent(99);
   world.run_for(milliseconds(400));
   LONGS_EQUAL(0, world.reservations(long_running_job));
@@ -209,10 +207,10 @@
   LONGS_EQUAL(1, world.reservations(long_running_job));
 }
 
-TEST(capacity_reservations, one_look_does_not_go_through_all_that_wait) {
-  constexpr size_t at_a_time = 24;
+TEST(capacity_reservations, one_round_is_bounded) {
+  constexpr size_t evaluations_per_round = 24;
   for (const bool low : {false, true}) {
-    reservation_world world(milliseconds(200), at_a_time);
+    reservation_world world(milliseconds(200), evaluations_per_round);
     world.occupy("a", false, short_job, make_short(1, 4'000, 2'000));
     constexpr uint64_t many = 40;
     for (uint64_t i = 0; i < many; ++i) {
@@ -221,8 +219,8 @@
       world.submit_to(low, other_job + i, step);
     }
     world.submit_to(false, long_running_job, make_long_running(1, 1'000));
-    // It comes after the smaller ones that are as urgent, of which one look
-    // takes 24.
+    // The task comes after smaller ones of equal priority, of which one round
+    // handles 24.
     world.run_for(milliseconds(2'800));
     world.pass(milliseconds(200));
     LONGS_EQUAL(low ? 1 : 0, world.reservations(long_running_job));
@@ -231,13 +229,12 @@
   }
 }
 
-// What a run that is stopped for an urgent task leaves over is enough.
-// Small steps for which there is no room, looked at first at each look, left
-// none to a larger one for which room could be made: it waited for 10 s.
-TEST(capacity_reservations, each_wait_has_its_turn_however_many_press) {
-  constexpr size_t at_a_time = 8;
+// Guards against starvation: small steps without a plan used up every round,
+// and a larger step with a possible reservation waited for 10 s.
+TEST(capacity_reservations, each_overdue_step_has_its_turn) {
+  constexpr size_t evaluations_per_round = 8;
   constexpr uint64_t many = 40;
-  reservation_world world(milliseconds(200), at_a_time);
+  reservation_world world(milliseconds(200), evaluations_per_round);
   fleet::worker_beat& worker = world.workers["a"];
   world.heartbeat("a");
   worker.add_labels("first");
@@ -252,7 +249,7 @@
   LONGS_EQUAL(many + 1, worker.running_size());
   world.occupy("b", false, short_job, make_short(1, 4'000, 20'000));
   LONGS_EQUAL(1, world.running(short_job));
-  // All are interrupted while their worker drains.
+  // All tasks are interrupted while their worker drains.
   worker.set_draining(true);
   worker.set_remaining_ms(60'000);
   const auto rows = worker.running();
@@ -263,18 +260,18 @@
   LONGS_EQUAL(1, world.reservations(long_running_job));
 }
 
-// Where hardly a worker had room even without its short tasks, each of them was
-// looked at in full for each task that waited: a fifth of a leader's second
-// while workers came back, its answers late and what they started with them.
-TEST(capacity_reservations, workers_that_cannot_make_room_cost_no_full_look) {
+// Guards against a full examination of workers that cannot fit the task even
+// without their short tasks: while workers came back it took a fifth of the
+// leader's time and delayed its answers and starts.
+TEST(capacity_reservations, unsuitable_workers_are_not_examined_in_full) {
   struct row {
     const char* name;
     uint64_t short_cpu;
-    uint64_t looks;
+    uint64_t examined;
     size_t reservations;
   };
-  // A worker of four processors: three it serves with, or short tasks have
-  // them.
+  // Workers have four processors. Serving tasks hold three of them, or short
+  // tasks do.
   const row rows[] = {{"one can", 3'000, 1, 1}, {"none can", 0, 0, 0}};
   for (const row& it : rows) {
     reservation_world world;
@@ -293,13 +290,13 @@
     world.run_for(until_reserved);
     LONGS_EQUAL_TEXT(it.reservations, world.reservations(long_running_job),
                      it.name);
-    LONGS_EQUAL_TEXT(it.looks,
+    LONGS_EQUAL_TEXT(it.examined,
                      world.metrics.counter("kestrelreel_room_looks_total"),
                      it.name);
   }
 }
 
-TEST(capacity_reservations, a_run_is_stopped_for_one_task_only) {
+TEST(capacity_reservations, run_is_evicted_for_one_task_only) {
   reservation_world world;
   world.add_other_pool_workers(7);
   world.occupy("a", true, short_job, make_batch(true));
@@ -314,7 +311,7 @@
                                        {{"cause", "lasting"}}));
 }
 
-TEST(capacity_reservations, rooms_count_in_what_another_step_lacks) {
+TEST(capacity_reservations, reservations_count_as_taken_for_other_steps) {
   reservation_world world;
   world.add_other_pool_workers(7);
   world.occupy("a", false, short_job, make_short(4, 1'000, 2'000));
@@ -325,7 +322,8 @@
       1, world.reservations(long_running_job) + world.reservations(other_job));
 }
 
-TEST(capacity_reservations, no_more_rooms_than_a_share_of_the_workers) {
+TEST(capacity_reservations,
+     reservations_are_limited_to_a_share_of_the_workers) {
   struct row {
     int workers;
     size_t reservations;
@@ -344,7 +342,7 @@
   }
 }
 
-TEST(capacity_reservations, rooms_expire) {
+TEST(capacity_reservations, reservations_expire) {
   reservation_world world;
   world.occupy("a", false, short_job, make_short(1, 3'000, 2'000));
   world.submit_to(false, long_running_job, make_long_running(1, 2'000));
@@ -356,7 +354,7 @@
   }
   LONGS_EQUAL(1, world.reservations(long_running_job));
   LONGS_EQUAL(1, world.running(short_job));
-  // By its pace the run takes 30 s and more: no room is kept anew.
+  // At its pace the run takes 30 s or more: no new reservation is made.
   world.workers["a"].mutable_running(0)->set_percent(10);
   world.run_for(milliseconds(2'600));
   LONGS_EQUAL(1, world.reservations(long_running_job));
@@ -364,7 +362,7 @@
   LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
-TEST(capacity_reservations, rooms_are_dropped_where_no_work_may_start) {
+TEST(capacity_reservations, reservations_on_unusable_workers_are_dropped) {
   reservation_world world;
   world.occupy("a", false, short_job, make_short(1, 3'000, 2'000));
   world.submit_to(false, long_running_job, make_long_running(1, 2'000));
@@ -376,7 +374,7 @@
   LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
-TEST(capacity_reservations, rooms_count_among_the_tasks_of_a_step_at_a_worker) {
+TEST(capacity_reservations, reservations_count_for_anti_affinity) {
   for (const uint32_t most : {1U, 0U}) {
     reservation_world world;
     world.add_other_pool_workers(7);
--- a/fleet/reservations.cc
+++ b/fleet/reservations.cc
@@ -37,8 +37,8 @@
 constexpr milliseconds min_pause{1'000};
 constexpr size_t max_paused_steps = 1'000;
 
-uint64_t excess(uint64_t taken, uint64_t room) {
-  return taken - std::min(taken, room);
+uint64_t excess(uint64_t taken, uint64_t capacity) {
+  return taken - std::min(taken, capacity);
 }
 
 /// Remaining run time by the estimate and by the pace so far.
@@ -356,7 +356,7 @@
   out.total = drop_stale();
   std::map<task_key, uint32_t> reserved;
   workers_.marks().with_rooms.review([&](const worker_view& it) {
-    for (const kept_room& room : it.kept) ++reserved[room.step];
+    for (const kept_room& entry : it.kept) ++reserved[entry.step];
     return !it.kept.empty();
   });
   milliseconds longest{0};
--- a/fleet/scheduler-test.cc
+++ b/fleet/scheduler-test.cc
@@ -1,5 +1,5 @@
-// Where tasks go, what is learned of pairs of images, and how fill tasks are
-// held back.
+// Task placement, the interference model, the load forecast and the pace of
+// backfill tasks.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -36,7 +36,7 @@
   }
 };
 
-TEST(scheduler, wishes_for_a_place_are_kept) {
+TEST(scheduler, placement_constraints_are_met) {
   struct row {
     const char* name;
     const char* label;
@@ -99,13 +99,13 @@
   spec.set_start_ms(1'000'000);
   spec.set_interval_ms(5'000);
   world.ask(request);
-  // The world's time of day stands at the first due time.
+  // The world's time of day is the first due time.
   const fleet::worker_orders orders = world.beat("a");
   LONGS_EQUAL(1, orders.starts_size());
   LONGS_EQUAL(0, orders.starts(0).task().time());
 }
 
-TEST(scheduler, fill_tasks_take_no_counted_room) {
+TEST(scheduler, backfill_tasks_take_no_counted_processors) {
   world.configure();
   world.submit(7, {fill("f", 3'000)});
   world.beat("a");
@@ -113,7 +113,7 @@
   LONGS_EQUAL(4, world.beat("a").starts_size());
 }
 
-TEST(scheduler, long_harm_stops_all_fill_tasks_beside) {
+TEST(scheduler, long_missed_target_stops_all_backfill_tasks) {
   world.configure();
   world.submit(7, {serving("s")});
   world.beat("a");
@@ -128,7 +128,7 @@
   LONGS_EQUAL(0, pace);
 }
 
-TEST(scheduler, fill_task_works_on_beside_a_task_at_ease) {
+TEST(scheduler, backfill_task_keeps_full_pace_beside_an_idle_service) {
   world.configure();
   world.submit(7, {serving("s")});
   world.beat("a");
@@ -143,15 +143,15 @@
   LONGS_EQUAL(100, pace);
 }
 
-// A task that cannot save its work is moved too, later: its job waits for it.
-// One whose work is worth more than the target is held back by the guard alone,
-// after 3 s.
-TEST(scheduler, held_back_fill_task_moves_to_a_better_place) {
+// A throttled task that cannot save its progress is moved later, since its job
+// waits for it. A task whose work is worth more than the target is stopped only
+// after the target is missed for 3 s.
+TEST(scheduler, throttled_backfill_task_moves_to_a_better_worker) {
   struct row {
     bool saves;
     uint32_t percent;
-    int least_beats;
-    int most_beats;
+    int min_beats;
+    int max_beats;
     double max_backfill_loss_cores = 12;
   };
   const row rows[] = {{true, 50, 7, 18},       {false, 5, 7, 18},
@@ -180,7 +180,7 @@
       stopped = fresh.beat("a").stops_size() > 0;
     }
     CHECK_TRUE(stopped);
-    CHECK_TRUE(beats >= it.least_beats && beats <= it.most_beats);
+    CHECK_TRUE(beats >= it.min_beats && beats <= it.max_beats);
     fresh.end("a", to_ref({job_number(8), 0, 0, 0}), 1, fleet::run_stopped,
               "c");
     fresh.beat("a");
@@ -190,7 +190,7 @@
   }
 }
 
-TEST(scheduler, held_back_fill_task_waits_for_a_place_if_it_saves_its_work) {
+TEST(scheduler, throttled_backfill_task_that_saves_progress_is_requeued) {
   for (const bool saves : {true, false}) {
     test_world fresh;
     fresh.configure();
@@ -213,9 +213,8 @@
   }
 }
 
-// Serving tasks with a swinging load beside fill tasks that come and go: the
-// costs of the pairs are found within a few hundred readings, when the load is
-// known only as well as the forecast knows it.
+// With a varying serving load, changing backfill tasks and forecast errors, the
+// costs of image pairs converge within a few hundred readings.
 TEST(scheduler, costs_of_pairs_are_learned) {
   struct row {
     double heavy;
@@ -241,9 +240,9 @@
   }
 }
 
-// Seen on lsa-floodwatch trouble-2, seed 980434282933: images that no worker
-// bears never started.
-TEST(scheduler, fill_task_that_no_worker_bears_starts_all_the_same) {
+// Guards against backfill tasks that never start because every worker's serving
+// tasks would suffer from their image.
+TEST(scheduler, backfill_task_tolerated_by_no_worker_starts_anyway) {
   world.configure();
   world.submit(7, {serving("s")});
   world.beat("a");
@@ -259,9 +258,9 @@
   LONGS_EQUAL(1, started);
 }
 
-// Two fill tasks beside a serving one near its target, whose step has another
-// task elsewhere: the one that disturbs it is slowed, the other works on.
-TEST(scheduler, fill_task_that_costs_most_is_slowed_first) {
+// Two backfill tasks share a worker with a serving task near its target, whose
+// step has another task elsewhere: only the one that disturbs it is throttled.
+TEST(scheduler, most_costly_backfill_task_is_throttled_first) {
   world.configure();
   world.beat("a");
   world.beat("b");
@@ -300,10 +299,10 @@
   LONGS_EQUAL(100, pace[1]);
 }
 
-TEST(scheduler, forecast_follows_a_swing_ahead_of_time) {
+TEST(scheduler, forecast_predicts_a_load_swing) {
   struct row {
     int period_ms;
-    double most_error;
+    double max_error;
   };
   const row rows[] = {{10'000, 0.055}, {20'000, 0.02}};
   for (const row& it : rows) {
@@ -322,11 +321,11 @@
       const double error = forecast.at(at + ahead) - load(at + ahead);
       worst = std::max(worst, std::abs(error));
     }
-    DOUBLES_EQUAL(0, worst, it.most_error);
+    DOUBLES_EQUAL(0, worst, it.max_error);
   }
 }
 
-TEST(scheduler, forecast_bears_one_worker_in_trouble) {
+TEST(scheduler, forecast_tolerates_one_faulty_worker) {
   load_forecast forecast;
   DOUBLES_EQUAL(0.5, forecast.at(milliseconds(0)), 0.001);
   for (int i = 0; i < 200; ++i) {
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -7,7 +7,7 @@
 namespace detail {
 
 constexpr unsigned percent = 100;
-/// Prefers the rack that holds the data: a task elsewhere takes longer.
+/// Prefers the rack near the data, one of a few: a task elsewhere takes longer.
 constexpr double rack_bonus = 1e6;
 /// Tasks of one step on one worker are lost together.
 constexpr double same_step_penalty = 4'000;
@@ -271,16 +271,16 @@
 bool fleet_scheduler::fits(const worker_view& it,
                            const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
-  const fleet::worker_beat& room = it.beat;
+  const fleet::worker_beat& capacity = it.beat;
   resources taken{it.load.cpu + spec.cpu_milli(),
                   it.load.memory_mb + spec.memory_mb(),
                   it.load.accelerators + spec.accelerators()};
-  const auto has_room = [&] {
-    return taken.memory_mb <= room.memory_mb() &&
-           taken.accelerators <= room.accelerators() &&
-           (spec.fills() || taken.cpu <= room.cpu_milli());
+  const auto has_capacity = [&] {
+    return taken.memory_mb <= capacity.memory_mb() &&
+           taken.accelerators <= capacity.accelerators() &&
+           (spec.fills() || taken.cpu <= capacity.cpu_milli());
   };
-  if (!has_room() || is_testing(it, step)) return false;
+  if (!has_capacity() || is_testing(it, step)) return false;
   // A task that crashed the previous incarnation could crash this one before
   // the crash of the previous one is known.
   if (workers_.is_unsettled(it) && has_interrupted_tasks(step.first))
@@ -289,7 +289,7 @@
     if (kept.step == step.first || !blocks(kept, step.priority)) continue;
     taken.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
-  if (!has_room()) return false;
+  if (!has_capacity()) return false;
   if (!spec.fills()) return true;
   return step.starved || allows_backfill(it, step);
 }
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -111,7 +111,7 @@
     job_order order;
     job_number number;
     const job_entry* entry;
-    // No task has run for `starved_after`: one starts wherever there is room.
+    // No task has run for `starved_after`: one starts wherever it fits.
     bool starved;
   };
   struct placement {
--- a/fleet/short-room-test.cc
+++ b/fleet/short-room-test.cc
@@ -1,12 +1,9 @@
-// Short jobs whose tasks are larger than the gaps that lasting tasks leave.
-//
-// On a cluster of 350 workers hardly a wide short job was served (0.31 to 0.36
-// of the largest tenth, 0.70 to 0.73 of all), with as without processor time
-// counted. While they waited, its leader's lines told: nearly every worker had
-// the memory (341 to 348 of 350), none the processors (the most free 2 to 6
-// cores, where 4 to 12 were asked), and no more than 0 to 100 would have had
-// without any of their short tasks. Lasting tasks that had not begun before
-// took each gap as it came, for good.
+// Guards against short jobs that starve because their tasks are larger than the
+// gaps that long-running tasks leave: new long-running tasks took each gap for
+// good. On 350 workers 0.31 to 0.36 of the largest tenth of short jobs and 0.70
+// to 0.73 of all were served, with or without processor time counted. Workers
+// had the memory (341 to 348 of 350) but not the processors (at most 2 to 6
+// cores free, 4 to 12 needed); without their short tasks 0 to 100 fitted.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -17,10 +14,10 @@
 namespace {
 
 constexpr int workers = 40;
-/// Lasting tasks of four cores that would take all there is.
-constexpr uint32_t lasting_tasks = 320;
+/// Long-running tasks of four cores that would take all processors.
+constexpr uint32_t long_running_tasks = 320;
 constexpr uint64_t worker_cpu = 32'000;
-constexpr uint64_t lasting_job = 1;
+constexpr uint64_t long_running_job = 1;
 constexpr uint64_t first_short_job = 100;
 
 }  // namespace
@@ -46,25 +43,25 @@
     for (int i = 0; i < workers; ++i) world.beat(name(i));
   }
   void serve() {
-    fleet::step_spec step = test_world::make_step(lasting_tasks, 4'000);
+    fleet::step_spec step = test_world::make_step(long_running_tasks, 4'000);
     step.set_long_running(true);
     step.set_target_ms(100);
     step.set_image("serving");
-    world.submit(lasting_job, {step});
+    world.submit(long_running_job, {step});
     beat_all();
   }
-  /// Tasks of 4 cores that would run for 0.64 s.
-  void come(uint32_t tasks) {
+  /// Submits a short job with tasks of 4 cores and 0.64 s.
+  void submit_short(uint32_t tasks) {
     fleet::step_spec step = test_world::make_step(tasks, 4'000);
     step.set_estimate_ms(640);
     world.submit(first_short_job + ++short_jobs, {step});
   }
-  /// All that is short and runs ends well.
+  /// Ends all running short tasks successfully.
   void end_short() {
     for (int i = 0; i < workers; ++i) {
       const auto rows = world.workers[name(i)].running();
       for (const auto& row : rows) {
-        if (row.task().job() == lasting_job) continue;
+        if (row.task().job() == long_running_job) continue;
         world.end(name(i), row.task(), row.run(), fleet::run_done);
       }
     }
@@ -82,38 +79,38 @@
   }
 };
 
-TEST(short_room, lasting_tasks_that_come_first_leave_some) {
+TEST(short_room, earlier_long_running_tasks_leave_capacity) {
   serve();
-  come(5);
+  submit_short(5);
   beat_all();
   LONGS_EQUAL(5, running(first_short_job + 1));
 }
 
-TEST(short_room, what_short_jobs_ask_for_is_left_to_them) {
+TEST(short_room, short_demand_stays_available) {
   // 64 tasks of 4 cores and 0.64 s each 0.8 s are some 205 cores of 1,280, or
   // 51 tasks at a time.
   for (int i = 0; i < 20; ++i) {
-    come(64);
+    submit_short(64);
     pass(milliseconds(800));
     end_short();
   }
   serve();
-  come(64);
+  submit_short(64);
   pass(milliseconds(400));
   CHECK_TRUE(running(first_short_job + short_jobs) >= 51);
 }
 
-TEST(short_room, lasting_tasks_get_all_where_no_short_jobs_come) {
+TEST(short_room, long_running_tasks_get_all_without_short_jobs) {
   serve();
-  CHECK_TRUE(running(lasting_job) < lasting_tasks);
+  CHECK_TRUE(running(long_running_job) < long_running_tasks);
   pass(milliseconds(30'000));
-  LONGS_EQUAL(lasting_tasks, running(lasting_job));
+  LONGS_EQUAL(long_running_tasks, running(long_running_job));
 }
 
-TEST(short_room, lasting_task_that_had_begun_takes_what_is_left) {
+TEST(short_room, interrupted_task_takes_the_remaining_capacity) {
   serve();
-  const uint32_t before = running(lasting_job);
-  // A worker fails what it runs; the tasks go elsewhere at once.
+  const uint32_t before = running(long_running_job);
+  // All runs of a worker fail; their tasks move to other workers at once.
   const auto rows = world.workers[name(0)].running();
   for (const auto& row : rows) {
     world.end(name(0), row.task(), row.run(), fleet::run_failed);
@@ -123,17 +120,17 @@
   beat_all();
   pass(milliseconds(400));
   CHECK_TRUE(rows.size() > 0);
-  LONGS_EQUAL(before, running(lasting_job));
+  LONGS_EQUAL(before, running(long_running_job));
 }
 
-TEST(short_room, demand_is_the_work_that_came_by_priority) {
+TEST(short_room, demand_is_the_accepted_work_by_priority) {
   fleet::fleet_job_spec job;
   *job.add_steps() = test_world::make_step(10, 2'000);
-  fleet::step_spec& lasts = *job.add_steps();
-  lasts = test_world::make_step(10, 2'000);
-  lasts.set_long_running(true);
+  fleet::step_spec& long_running = *job.add_steps();
+  long_running = test_world::make_step(10, 2'000);
+  long_running.set_long_running(true);
   short_demand demand;
-  // 20 core-seconds a second.
+  // 20 core-seconds per second.
   for (int i = 0; i < 60; ++i) demand.note(job, 1, milliseconds(1'000 * i));
   const time_point now{60'000};
   LONGS_EQUAL(0, demand.cpu_milli(0, now));
--- a/fleet/waiting-serving-test.cc
+++ b/fleet/waiting-serving-test.cc
@@ -1,15 +1,11 @@
-// Serving tasks that wait while other work takes every gap.
-//
-// Serving tasks of workers that left in order waited 10 to 18 s for their next
-// start, though the leader knew of the leave at once. While they waited, its
-// lines told: of 303 workers none had the processors (the most free 2.6 to 6.4
-// cores where 5.2 to 10 were asked), 270 to 310 had the memory, hardly any was
-// barred. Serving tasks themselves asked for nearly all that the workers left
-// have: at times no worker would have had room even without its short tasks
-// (22 to 40 of 315 at first, 0 some seconds later). What came free, as jobs
-// were cancelled or tasks failed, went to short tasks piece by piece, lay idle
-// until the next heartbeat, or went to the oldest task that it was large enough
-// for, while 100 others waited.
+// Guards against serving tasks that stay pending while other work takes every
+// gap: tasks of workers that left in order waited 10 to 18 s for their next
+// start. Of 303 workers none had the processors (at most 2.6 to 6.4 cores free,
+// 5.2 to 10 needed), 270 to 310 had the memory, and few were excluded by
+// constraints. Serving tasks needed nearly all processors left: without their
+// short tasks 22 to 40 of 315 workers fitted one, some seconds later none.
+// Freed capacity went to short tasks piece by piece, stayed idle until the next
+// heartbeat, or went to the oldest task that fitted while 100 others waited.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -25,16 +21,16 @@
 namespace {
 
 constexpr milliseconds step_time{100};
-/// The users bear 6 s from the last run; what is asked here leaves 2 s for
-/// heartbeats and orders on their way.
-constexpr milliseconds most_wait{4'000};
-/// Users miss a task that served before: it has turn a second sooner.
-constexpr milliseconds most_wait_again{3'000};
+/// Users tolerate 6 s from the last run; this leaves 2 s for heartbeats and
+/// orders.
+constexpr milliseconds max_wait{4'000};
+/// An interrupted task goes first, so it starts a second sooner.
+constexpr milliseconds max_restart_wait{3'000};
 constexpr uint64_t serving_job = 1;
 constexpr uint64_t batch_job = 2;
 constexpr uint64_t first_short_job = 100;
 
-/// What fills the workers before a serving task comes, and besides.
+/// Load on the workers before and while a serving task is pending.
 struct filling {
   const char* name;
   uint64_t short_cpu = 0;
@@ -49,10 +45,10 @@
   bool others_leave = false;
 };
 
-/// Three workers that work through what they are told.
-class busy_world {
+/// Three workers that carry out their orders.
+class loaded_world {
  public:
-  explicit busy_world(const filling& it) : filling_(it) {
+  explicit loaded_world(const filling& it) : filling_(it) {
     fleet::fleet_config config = test_world::make_config(1);
     fleet::queue_route batch = config.queues(0);
     batch.set_name("batch");
@@ -95,7 +91,7 @@
     world_.submit(serving_job, {step});
   }
 
-  /// How long until all serving tasks have begun; `limit` if they do not.
+  /// Time until all serving tasks have started; `limit` if they do not.
   milliseconds wait_for_start(milliseconds limit) {
     for (milliseconds at{0}; at < limit; at += step_time) {
       if (serving() == filling_.serving_tasks) return at;
@@ -105,7 +101,7 @@
     return limit;
   }
 
-  /// All serving tasks fail at once, and are to be started again.
+  /// Fails all serving tasks at once, so that they become pending again.
   void interrupt() {
     for (auto& [name, it] : world_.workers) {
       const auto rows = it.running();
@@ -120,7 +116,7 @@
   size_t batch_stopped() const { return batch_stopped_.size(); }
 
  private:
-  struct life {
+  struct run_state {
     time_point ends;
     bool stopping = false;
   };
@@ -129,7 +125,7 @@
     for (milliseconds at{0}; at < n; at += step_time) one_step();
   }
 
-  /// More short tasks wait than there is room for, at any time.
+  /// Keeps more short tasks pending than the workers can fit.
   void keep_short_jobs_waiting() {
     if (filling_.short_cpu == 0) return;
     uint64_t waiting = 0;
@@ -152,7 +148,7 @@
     for (const char* name : {"a", "b", "c"}) {
       if (gone_.contains(name)) continue;
       end_what_is_due(name);
-      // Heartbeats in turn, each 200 ms.
+      // Heartbeats in turn, one per worker each 200 ms.
       if ((steps_ + place++) % 2 == 0) call(name);
     }
   }
@@ -162,12 +158,12 @@
     const time_point now = world_.clock.now();
     for (const fleet::start_order& it : orders.starts()) {
       const run_key run{to_key(it.task()), run_number(it.run())};
-      lives_[run].ends = now + length_of(run.task);
+      runs_[run].ends = now + length_of(run.task);
     }
     for (const fleet::stop_order& it : orders.stops()) {
       const run_key run{to_key(it.task()), run_number(it.run())};
       if (run.task.job == job_number(serving_job)) ++stops_of_serving_;
-      life& alive = lives_[run];
+      run_state& alive = runs_[run];
       if (std::exchange(alive.stopping, true)) continue;
       if (run.task.job == job_number(batch_job)) batch_stopped_.insert(run);
       alive.ends = now + milliseconds(500);
@@ -176,7 +172,7 @@
 
   milliseconds length_of(const task_key& task) const {
     if (task.job.value() < first_short_job) return milliseconds(1'000'000);
-    // They end one after the other, never two at a time for long.
+    // Run times differ, so that short tasks end one after the other.
     return milliseconds(500 + 100 * (task.job.value() % 4));
   }
 
@@ -184,7 +180,7 @@
     const auto rows = world_.workers[name].running();
     for (const fleet::running_row& row : rows) {
       const run_key run{to_key(row.task()), run_number(row.run())};
-      const life& it = lives_[run];
+      const run_state& it = runs_[run];
       if (it.ends > world_.clock.now()) continue;
       world_.end(name, row.task(), row.run(),
                  it.stopping ? fleet::run_stopped : fleet::run_done);
@@ -202,7 +198,7 @@
     return n;
   }
 
-  /// The first worker goes in order, with whatever room was meant there.
+  /// The first worker leaves in order, and its reservations with it.
   void leave_one() {
     world_.workers["a"].set_draining(true);
     world_.beat("a");
@@ -214,7 +210,7 @@
 
   filling filling_;
   test_world world_;
-  std::map<run_key, life> lives_;
+  std::map<run_key, run_state> runs_;
   std::set<std::string> gone_;
   std::set<run_key> batch_stopped_;
   uint64_t next_short_ = first_short_job;
@@ -226,7 +222,7 @@
 
 TEST_GROUP(waiting_serving){};
 
-TEST(waiting_serving, task_starts_in_time_whatever_fills_the_workers) {
+TEST(waiting_serving, task_starts_in_time_under_any_load) {
   const filling rows[] = {
       {.name = "small gaps that short tasks take", .short_cpu = 500},
       {.name = "short tasks' processors",
@@ -259,26 +255,26 @@
        .others_leave = true},
   };
   for (const filling& it : rows) {
-    busy_world world(it);
+    loaded_world world(it);
     world.fill();
     world.serve();
     const milliseconds limit(12'000);
     const milliseconds waited = world.wait_for_start(limit);
-    CHECK_TEXT(waited < most_wait, it.name);
-    // No more gives way than the room takes.
+    CHECK_TEXT(waited < max_wait, it.name);
+    // No needless evictions.
     CHECK_TEXT(world.batch_stopped() <= 2, it.name);
     world.interrupt();
     const milliseconds again = world.wait_for_start(limit);
-    CHECK_TEXT(again < most_wait_again, it.name);
+    CHECK_TEXT(again < max_restart_wait, it.name);
     LONGS_EQUAL_TEXT(0, world.stops_of_serving(), it.name);
   }
 }
 
-// A step that found no room was left alone for a while, by the number of
-// workers. The answer to the heartbeat that told the end of a run went out
-// meanwhile without a start, and the room lay idle until the next heartbeat.
-TEST(waiting_serving, room_that_comes_free_is_taken_with_the_same_answer) {
-  for (const bool lasts : {false, true}) {
+// Guards against freed capacity that stays idle for a heartbeat: a step that
+// did not fit paused by the number of workers, and the answer to the heartbeat
+// that reported the end of a run carried no start.
+TEST(waiting_serving, freed_capacity_is_used_with_the_same_answer) {
+  for (const bool long_running : {false, true}) {
     test_world world;
     world.configure();
     constexpr int others = 500;
@@ -292,7 +288,7 @@
     world.submit(1, {test_world::make_step(1, 4'000)});
     LONGS_EQUAL(1, world.beat("a").starts_size());
     fleet::step_spec step = test_world::make_step(1, 4'000);
-    step.set_long_running(lasts);
+    step.set_long_running(long_running);
     world.submit(2, {step});
     LONGS_EQUAL(0, world.beat("a").starts_size());
     world.end("a", to_ref({job_number(1), 0, 0, 0}), 1, fleet::run_done);
@@ -302,12 +298,11 @@
   }
 }
 
-// Where serving tasks alone ask for more than there is, those that waited
-// longest were served first, whatever their size: small ones waited on beside
-// rooms that were too small for the large ones, and fewer served. With the
-// small ones first, new jobs of 17 to 23 small tasks took what came free, and
-// tasks that had served before waited for 10 s.
-TEST(waiting_serving, turns_where_there_is_not_room_for_all) {
+// Guards the order of serving tasks when they alone exceed the capacity. With
+// the longest wait first, small tasks stayed pending beside gaps too small for
+// large ones, and fewer served. With small tasks first, new jobs of 17 to 23
+// small tasks took the freed capacity, and interrupted tasks waited for 10 s.
+TEST(waiting_serving, interrupted_then_small_tasks_go_first) {
   struct row {
     const char* name;
     bool large_served;
@@ -341,8 +336,8 @@
     }
     if (!it.large_served) submit(2, 1);
     if (!it.small_served) submit(3, 2);
-    // What ran there is given up on 1.1 s after the leave, by a tick; then it
-    // waits for 4.5 s.
+    // A tick declares the runs there lost 1.1 s after the leave; their tasks
+    // are then pending for 4.5 s.
     world.pass(milliseconds(1'200) + milliseconds(5'000));
     const fleet::worker_orders orders = world.beat("a");
     LONGS_EQUAL_TEXT(it.starts, orders.starts_size(), it.name);
