--- a/fleet/reservations.cc
+++ b/fleet/reservations.cc
@@ -25,15 +25,15 @@
 /// Work lost, in seconds, by evicting a run that saves its progress: half a
 /// second since its last checkpoint, and a quarter to restore it.
 constexpr double checkpoint_loss_s = 0.75;
-/// Seconds of a long-running task that one lost core-second is worth: users
-/// value them at 0.035 and 0.018.
+/// Worth of a lost core-second in seconds of a long-running task: users value
+/// the core-second at 0.018 and the second at 0.035.
 constexpr double seconds_per_core_second = 0.5;
 /// Costs in seconds: serving images that share a worker lose backfill pace and
 /// targets; tasks of one step on one worker are lost together.
 constexpr double image_mismatch_s = 0.3;
 constexpr double same_step_s = 0.2;
 /// Minimum pause before a step without a reservation is tried again, unless
-/// it is past its deadline, and the maximum number of steps in that pause.
+/// it is overdue, and the maximum number of steps in that pause.
 constexpr milliseconds min_pause{1'000};
 constexpr size_t max_paused_steps = 1'000;
 
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -146,7 +146,8 @@
                                          const job_entry& job) {
   job_tracking& tracking = tracking_of(number);
   if (!std::exchange(tracking.demand_recorded, true)) {
-    short_demand_.note(job.spec, book_.queue_of(job).priority(), clock_.now());
+    short_demand_.record_job(job.spec, book_.queue_of(job).priority(),
+                             clock_.now());
   }
   bool runs = false;
   bool waits = false;
--- a/fleet/short-demand.cc
+++ b/fleet/short-demand.cc
@@ -29,8 +29,8 @@
   return it.cpu * std::exp(-passed / detail::decay_time_ms);
 }
 
-void short_demand::note(const fleet::fleet_job_spec& job, uint32_t priority,
-                        time_point now) {
+void short_demand::record_job(const fleet::fleet_job_spec& job,
+                              uint32_t priority, time_point now) {
   const double work = detail::work_of(job);
   if (work == 0) return;
   level& it = levels_[priority];
--- a/fleet/short-demand.h
+++ b/fleet/short-demand.h
@@ -14,8 +14,8 @@
 class short_demand {
  public:
   /// Adds an accepted job; its long-running and backfill steps do not count.
-  void note(const fleet::fleet_job_spec& job, uint32_t priority,
-            time_point now);
+  void record_job(const fleet::fleet_job_spec& job, uint32_t priority,
+                  time_point now);
   /// Demand of jobs with this priority or a more urgent one, in thousandths of
   /// a core.
   uint64_t cpu_milli(uint32_t priority, time_point now) const;
--- a/fleet/short-room-test.cc
+++ b/fleet/short-room-test.cc
@@ -131,7 +131,8 @@
   long_running.set_long_running(true);
   short_demand demand;
   // 20 core-seconds per second.
-  for (int i = 0; i < 60; ++i) demand.note(job, 1, milliseconds(1'000 * i));
+  for (int i = 0; i < 60; ++i)
+    demand.record_job(job, 1, milliseconds(1'000 * i));
   const time_point now{60'000};
   LONGS_EQUAL(0, demand.cpu_milli(0, now));
   CHECK_TRUE(demand.cpu_milli(1, now) > 16'000);
--- a/fleet/waiting-steps.cc
+++ b/fleet/waiting-steps.cc
@@ -98,7 +98,8 @@
   });
 }
 
-/// Only short steps pause longer as more steps wait; long-running ones do not.
+/// Long-running tasks have precedence: only short steps pause longer as more
+/// steps are pending.
 milliseconds fleet_scheduler::retry_pause(size_t workers,
                                           bool long_running) const {
   constexpr uint64_t ms_per_s = 1'000;
