--- a/fleet/delayed-steps.cc
+++ b/fleet/delayed-steps.cc
@@ -145,7 +145,7 @@
     if (worker.beat.pool() != step.pool) continue;
     ++out.usable;
     if (!meets_constraints(worker, step)) {
-      ++out.barred;
+      ++out.excluded;
       continue;
     }
     resources available;
@@ -162,8 +162,8 @@
              available.memory_mb >= spec.memory_mb();
     };
     out.fit += fits_with({});
-    out.without_fills += fits_with(it.backfill);
-    out.without_lesser += fits_with(it.less_urgent);
+    out.without_backfill += fits_with(it.backfill);
+    out.without_less_urgent += fits_with(it.less_urgent);
     out.without_short += fits_with(it.other);
   }
   return out;
@@ -180,12 +180,12 @@
       .with("cpu", step.spec.cpu_milli())
       .with("memory-mb", step.spec.memory_mb())
       .with("workers", n.usable)
-      .with("barred", n.barred)
+      .with("barred", n.excluded)
       .with("fit", n.fit)
       .with("fit-cpu", n.fit_cpu)
       .with("fit-memory", n.fit_memory)
-      .with("fit-without-fills", n.without_fills)
-      .with("fit-without-lesser", n.without_lesser)
+      .with("fit-without-fills", n.without_backfill)
+      .with("fit-without-lesser", n.without_less_urgent)
       .with("fit-without-short", n.without_short)
       .with("most-cpu", n.most_cpu)
       .with("most-memory-mb", n.most_memory);
@@ -251,9 +251,10 @@
 
 /// Logs once that only evacuated workers meet the constraints of a step, which
 /// stays pending until the evacuation is cancelled.
-void fleet_scheduler::report_if_barred(
+void fleet_scheduler::report_if_only_evacuated_fit(
     const pending_step& step, const std::vector<worker_view*>& usable) {
-  if (book_.evacuated().empty() || reported_barred_.contains(step.first))
+  if (book_.evacuated().empty() ||
+      reported_only_evacuated_.contains(step.first))
     return;
   const auto eligible = [&](const auto* it) {
     return meets_constraints(*it, step);
@@ -264,7 +265,7 @@
     return is_evacuated(it.second) && eligible(&it.second);
   });
   if (n == 0) return;
-  reported_barred_.insert(step.first);
+  reported_only_evacuated_.insert(step.first);
   log_event(detail::service_name, log_level::warn, "step-waits-for-evacuation")
       .with("step", to_text(step.first))
       .with("label", step.spec.requires_label())
--- a/fleet/interference.cc
+++ b/fleet/interference.cc
@@ -40,9 +40,9 @@
   return it.mean.empty() ? nullptr : &it;
 }
 
-size_t interference_model::index_of(const estimate& it, image_id fill) {
-  return fill.value() < it.indices.size() ? it.indices[fill.value()]
-                                          : detail::no_index;
+size_t interference_model::index_of(const estimate& it, image_id backfill) {
+  return backfill.value() < it.indices.size() ? it.indices[backfill.value()]
+                                              : detail::no_index;
 }
 
 double interference_model::sensitivity(image_id serving) const {
@@ -50,12 +50,12 @@
   return it == nullptr ? detail::prior_cost : it->sensitivity;
 }
 
-void interference_model::add_image(estimate& it, image_id fill) {
+void interference_model::add_image(estimate& it, image_id backfill) {
   const size_t n = it.mean.size();
-  if (fill.value() >= it.indices.size()) {
-    it.indices.resize(fill.value() + 1, detail::no_index);
+  if (backfill.value() >= it.indices.size()) {
+    it.indices.resize(backfill.value() + 1, detail::no_index);
   }
-  it.indices[fill.value()] = n;
+  it.indices[backfill.value()] = n;
   it.mean.push_back(detail::prior_cost);
   for (auto& row : it.covariance) row.push_back(0);
   it.covariance.emplace_back(n + 1, 0.0);
@@ -69,15 +69,15 @@
     estimates_.resize(serving.value() + 1);
   }
   estimate& it = estimates_[serving.value()];
-  for (const image_use& fill : use) {
-    const bool known = index_of(it, fill.image) != detail::no_index;
+  for (const image_use& backfill : use) {
+    const bool known = index_of(it, backfill.image) != detail::no_index;
     const bool below_limit = it.mean.size() < detail::max_images;
-    if (!known && below_limit) add_image(it, fill.image);
+    if (!known && below_limit) add_image(it, backfill.image);
   }
   std::vector<double> x(it.mean.size(), 0.0);
-  for (const image_use& fill : use) {
-    const size_t index = index_of(it, fill.image);
-    if (index != detail::no_index) x[index] += fill.processors;
+  for (const image_use& backfill : use) {
+    const size_t index = index_of(it, backfill.image);
+    if (index != detail::no_index) x[index] += backfill.processors;
   }
   update(it, x, rise);
   it.sensitivity = *std::max_element(it.mean.begin(), it.mean.end());
@@ -106,10 +106,10 @@
   }
 }
 
-double interference_model::cost(image_id serving, image_id fill) const {
+double interference_model::cost(image_id serving, image_id backfill) const {
   const estimate* it = find(serving);
   if (it == nullptr) return detail::prior_cost;
-  const size_t index = index_of(*it, fill);
+  const size_t index = index_of(*it, backfill);
   if (index == detail::no_index) return detail::prior_cost;
   return std::max(0.0, it->mean[index]);
 }
--- a/fleet/interference.h
+++ b/fleet/interference.h
@@ -57,19 +57,19 @@
   /// Load that one processor in use by the backfill image adds to a serving
   /// task, as a share of its own load; at least 0. Processors are scaled to a
   /// worker with 32. A pair without readings gets a cautious prior.
-  double cost(image_id serving, image_id fill) const;
+  double cost(image_id serving, image_id backfill) const;
 
  private:
   struct estimate {
-    // Into `mean`, by backfill image; `no_index` without an estimate.
+    // Index into `mean`, by backfill image; `no_index` without an estimate.
     std::vector<size_t> indices;
     std::vector<double> mean;
     std::vector<std::vector<double>> covariance;
     double sensitivity = 0;
   };
   const estimate* find(image_id serving) const;
-  static size_t index_of(const estimate& it, image_id fill);
-  static void add_image(estimate& it, image_id fill);
+  static size_t index_of(const estimate& it, image_id backfill);
+  static void add_image(estimate& it, image_id backfill);
   static void update(estimate& it, const std::vector<double>& x, double y);
 
   std::unordered_map<std::string, image_id> ids_;
--- a/fleet/load-forecast.h
+++ b/fleet/load-forecast.h
@@ -12,7 +12,8 @@
 class load_forecast {
  public:
   /// Adds a task's load at `at`, without the part that backfill tasks add. A
-  /// reading older than the last one counts as of the last one's time.
+  /// reading older than the last one is treated as taken at the last one's
+  /// time.
   void observe(time_point at, double load);
   /// Expected load at `at`. The slope counts for at most 0.9 s after the last
   /// reading; without any reading the average load of services is returned.
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -74,7 +74,8 @@
   std::vector<serving_task> all;
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
-    // Below 100 percent the task is starting; its reading is not usable yet.
+    // Below 100 percent progress the task is starting; its reading is not
+    // usable yet.
     if (step == nullptr || step->target_ms() <= 0 || row.reading() <= 0 ||
         row.percent() < full_pace) {
       continue;
@@ -341,7 +342,7 @@
   const auto of_job = [&](const auto& p) { return p.first.job == job; };
   std::erase_if(forecasts_, of_job);
   std::erase_if(retry_at_, of_job);
-  std::erase_if(reported_barred_,
+  std::erase_if(reported_only_evacuated_,
                 [&](const auto& it) { return it.job == job; });
 }
 
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -107,18 +107,20 @@
   const bool retry = retry_is_due(first);
   if (!retry && !fits_on_freed_worker(*job.entry, first)) return;
   const pending_step pending = pending_step_of(*job.entry, first, job.starved);
-  const size_t opened = place_on_open_workers(job, pending, waiting, out);
-  if (opened >= waiting) return void(retry_at_.erase(first));
+  const size_t placed_on_open =
+      place_on_open_workers(job, pending, waiting, out);
+  if (placed_on_open >= waiting) return void(retry_at_.erase(first));
   if (all.empty()) all = plan_candidates();
   const std::vector<placement> placed =
       place_tasks(job, pending, retry ? all : freed_);
   if (retry) retry_at_.erase(first);
-  if (retry && opened + placed.size() < waiting) {
+  if (retry && placed_on_open + placed.size() < waiting) {
     retry_at_[first] =
         clock_.now() + retry_pause(all.size(), spec.long_running());
   }
   if (spec.gang() && placed.size() < waiting) return cancel_placements(placed);
-  if (opened + placed.size() == 0 && retry) report_if_barred(pending, all);
+  if (placed_on_open + placed.size() == 0 && retry)
+    report_if_only_evacuated_fit(pending, all);
   start(placed, pending, out);
 }
 
--- a/fleet/scheduler-settings.h
+++ b/fleet/scheduler-settings.h
@@ -40,8 +40,8 @@
   std::chrono::microseconds reservation_pause_per_worker{500};
   /// Lifetime of a reservation.
   milliseconds reservation_ttl{3'000};
-  /// Worker evaluations per round, of 0.1 us each: at 1,100 workers 10 ms of
-  /// each 550.
+  /// Worker evaluations per round, of 0.1 us each: at 1,100 workers 10 ms
+  /// of each 550 ms.
   size_t max_reservation_evaluations = 100'000;
   /// Reservations per hundred workers; a task takes a fifth of a worker.
   unsigned max_reserved_percent = 25;
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -7,7 +7,8 @@
 namespace detail {
 
 constexpr unsigned percent = 100;
-/// Prefers the rack near the data, one of a few: a task elsewhere takes longer.
+/// Prefers workers in the rack near the data, one rack in a few: a task that is
+/// away from its data takes longer.
 constexpr double rack_bonus = 1e6;
 /// Tasks of one step on one worker are lost together.
 constexpr double same_step_penalty = 4'000;
@@ -22,8 +23,9 @@
 /// data centre that rejoins are all empty and would attract every pending task.
 /// Exceeds all but `rack_bonus`, since a task away from its data loses as much.
 constexpr double cold_start_penalty = 300'000;
-/// An interrupted task has spent most of the tolerated outage waiting for its
-/// lease to end. Exceeds `image_bonus`.
+/// For an interrupted task, avoids workers without an open call, which would
+/// get the order late: most of the tolerated outage has passed while its lease
+/// ran out. Exceeds `image_bonus`.
 constexpr double late_call_penalty = 200'000;
 /// A call due within this time counts as an open one.
 constexpr milliseconds soon{300};
@@ -123,8 +125,8 @@
   return it->second;
 }
 
-job_order fleet_scheduler::order_now(job_tracking& tracking,
-                                     const job_entry& job) {
+job_order fleet_scheduler::current_job_order(job_tracking& tracking,
+                                             const job_entry& job) {
   const time_point now = clock_.now();
   job_order order = order_of(job, book_.queue_of(job), tracking.accepted, now);
   if (order.standing != job_standing::long_running) return order;
@@ -185,7 +187,7 @@
     if (!has_tasks_to_place(number, job)) continue;
     job_tracking& tracking = tracking_of(number);
     jobs.push_back(
-        {order_now(tracking, job), number, &job, is_starved(tracking)});
+        {current_job_order(tracking, job), number, &job, is_starved(tracking)});
   }
   std::stable_sort(jobs.begin(), jobs.end(), [](const auto& a, const auto& b) {
     return a.order < b.order;
@@ -214,7 +216,7 @@
   cut_short_ = false;
   const std::vector<waiting_job> jobs = waiting_jobs();
   if (jobs.empty()) return out;
-  // Filled by the first step that is tried.
+  // Candidate workers, filled by the first step that is tried.
   std::vector<worker_view*> all;
   for (const waiting_job& it : jobs) {
     cut_short_ = evaluations_left_ == 0;
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -129,8 +129,8 @@
     // The job's work has been added to the short demand.
     bool demand_recorded = false;
   };
-  /// Usable workers of a pool, their processors, and the share of these that
-  /// long-running tasks hold, in thousandths of a core.
+  /// Usable workers of a pool, their processors, and the processors that their
+  /// long-running tasks hold, both in thousandths of a core.
   struct pool_use {
     uint64_t workers = 0;
     uint64_t cpu = 0;
@@ -205,12 +205,12 @@
   /// Workers that fit a task now, or would without some of their short tasks.
   struct fit_counts {
     uint64_t usable = 0;
-    uint64_t barred = 0;
+    uint64_t excluded = 0;
     uint64_t fit = 0;
     uint64_t fit_cpu = 0;
     uint64_t fit_memory = 0;
-    uint64_t without_fills = 0;
-    uint64_t without_lesser = 0;
+    uint64_t without_backfill = 0;
+    uint64_t without_less_urgent = 0;
     uint64_t without_short = 0;
     uint64_t most_cpu = 0;
     uint64_t most_memory = 0;
@@ -268,7 +268,7 @@
   std::optional<double> score_if_allowed(const pending_step& step,
                                          const worker_view& it) const;
   bool is_starved(const job_tracking& tracking) const;
-  job_order order_now(job_tracking& tracking, const job_entry& job);
+  job_order current_job_order(job_tracking& tracking, const job_entry& job);
   bool retry_is_due(const task_key& step) const;
   std::vector<worker_view*> take_freed_workers();
   void count_evaluations(uint64_t n);
@@ -315,10 +315,10 @@
   const char* exclusion_reason(const worker_view& it) const;
   void report_processors();
   void report_late_start(const placement& it, bool long_running);
-  void report_if_barred(const pending_step& step,
-                        const std::vector<worker_view*>& usable);
+  void report_if_only_evacuated_fit(const pending_step& step,
+                                    const std::vector<worker_view*>& usable);
   bool meets_constraints(const worker_view& it, const pending_step& step) const;
-  // Capacity reserved for these: reservations.cc.
+  // Capacity reservations: reservations.cc.
   bool may_evict(const run_key& run, uint32_t priority) const;
   double eviction_cost(const worker_view& it, const run_key& run) const;
   uint32_t priority_of(const task_key& step) const;
@@ -357,11 +357,11 @@
   short_demand short_demand_;
   // By pool, cached for one plan or reservation pass.
   std::map<std::string, pool_use> pool_uses_;
-  // Of serving steps, by first task.
+  // Load forecasts of serving steps, by first task.
   std::map<task_key, load_forecast> forecasts_;
   std::unordered_map<job_number, job_tracking> tracked_jobs_;
   // Steps logged as possible only on evacuated workers.
-  std::set<task_key> reported_barred_;
+  std::set<task_key> reported_only_evacuated_;
   // Next attempt for a step that did not fit, by first task.
   std::map<task_key, time_point> retry_at_;
   // Next attempt for a step without a reservation, by first task.
--- a/fleet/short-demand.cc
+++ b/fleet/short-demand.cc
@@ -11,7 +11,7 @@
 
 /// Processor time of the steps that are neither long-running nor backfill, in
 /// thousandths of a core times ms.
-double work_of(const fleet::fleet_job_spec& job) {
+double processor_time_of(const fleet::fleet_job_spec& job) {
   double work = 0;
   for (const fleet::step_spec& it : job.steps()) {
     if (it.long_running() || it.fills()) continue;
@@ -31,7 +31,7 @@
 
 void short_demand::record_job(const fleet::fleet_job_spec& job,
                               uint32_t priority, time_point now) {
-  const double work = detail::work_of(job);
+  const double work = detail::processor_time_of(job);
   if (work == 0) return;
   level& it = levels_[priority];
   it.cpu = decayed(it, now) + work / detail::decay_time_ms;
--- a/fleet/short-room-test.cc
+++ b/fleet/short-room-test.cc
@@ -57,7 +57,7 @@
     world.submit(first_short_job + ++short_jobs, {step});
   }
   /// Ends all running short tasks successfully.
-  void end_short() {
+  void end_short_tasks() {
     for (int i = 0; i < workers; ++i) {
       const auto rows = world.workers[name(i)].running();
       for (const auto& row : rows) {
@@ -92,7 +92,7 @@
   for (int i = 0; i < 20; ++i) {
     submit_short(64);
     pass(milliseconds(800));
-    end_short();
+    end_short_tasks();
   }
   serve();
   submit_short(64);
@@ -130,7 +130,7 @@
   long_running = test_world::make_step(10, 2'000);
   long_running.set_long_running(true);
   short_demand demand;
-  // 20 core-seconds per second.
+  // The short step demands 20 core-seconds per second.
   for (int i = 0; i < 60; ++i)
     demand.record_job(job, 1, milliseconds(1'000 * i));
   const time_point now{60'000};
--- a/fleet/waiting-serving-test.cc
+++ b/fleet/waiting-serving-test.cc
@@ -1,11 +1,12 @@
 // Guards against serving tasks that stay pending while other work takes every
 // gap: tasks of workers that left in order waited 10 to 18 s for their next
-// start. Of 303 workers none had the processors (at most 2.6 to 6.4 cores free,
-// 5.2 to 10 needed), 270 to 310 had the memory, and few were excluded by
-// constraints. Serving tasks needed nearly all processors left: without their
-// short tasks 22 to 40 of 315 workers fitted one, some seconds later none.
-// Freed capacity went to short tasks piece by piece, stayed idle until the next
-// heartbeat, or went to the oldest task that fitted while 100 others waited.
+// start, although the leader knew of the leave at once. Of 303 workers none had
+// the processors (at most 2.6 to 6.4 cores free, 5.2 to 10 needed), 270 to 310
+// had the memory, and few were excluded by constraints. Serving tasks needed
+// nearly all processors left: without their short tasks 22 to 40 of 315 workers
+// fitted one, some seconds later none. Freed capacity went to short tasks piece
+// by piece, stayed idle until the next heartbeat, or went to the oldest task
+// that fitted while 100 others waited.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -112,7 +113,7 @@
     }
   }
 
-  int stops_of_serving() const { return stops_of_serving_; }
+  int serving_stops() const { return serving_stops_; }
   size_t batch_stopped() const { return batch_stopped_.size(); }
 
  private:
@@ -162,7 +163,7 @@
     }
     for (const fleet::stop_order& it : orders.stops()) {
       const run_key run{to_key(it.task()), run_number(it.run())};
-      if (run.task.job == job_number(serving_job)) ++stops_of_serving_;
+      if (run.task.job == job_number(serving_job)) ++serving_stops_;
       run_state& alive = runs_[run];
       if (std::exchange(alive.stopping, true)) continue;
       if (run.task.job == job_number(batch_job)) batch_stopped_.insert(run);
@@ -215,7 +216,7 @@
   std::set<run_key> batch_stopped_;
   uint64_t next_short_ = first_short_job;
   int steps_ = 0;
-  int stops_of_serving_ = 0;
+  int serving_stops_ = 0;
 };
 
 }  // namespace
@@ -266,7 +267,7 @@
     world.interrupt();
     const milliseconds again = world.wait_for_start(limit);
     CHECK_TEXT(again < max_restart_wait, it.name);
-    LONGS_EQUAL_TEXT(0, world.stops_of_serving(), it.name);
+    LONGS_EQUAL_TEXT(0, world.serving_stops(), it.name);
   }
 }
 
