--- a/fleet/interference.h
+++ b/fleet/interference.h
@@ -73,7 +73,7 @@
   static void update(estimate& it, const std::vector<double>& x, double y);
 
   std::unordered_map<std::string, image_id> ids_;
-  // By serving image.
+  // Estimates by serving image.
   std::vector<estimate> estimates_;
 };
 
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -14,8 +14,8 @@
 constexpr milliseconds order_age{350};
 /// An own load above this comes from a faulty worker, not from users' requests.
 constexpr double faulty_load = 0.95;
-/// A load's excess over the model: weight of the newest reading, the part that
-/// is noise, and the upper bound.
+/// Excess of a task's load over the model: weight of the newest reading, the
+/// part that is noise, and the upper bound.
 constexpr double excess_weight = 0.3;
 constexpr double excess_noise = 0.03;
 constexpr double max_excess = 0.2;
@@ -106,29 +106,30 @@
 /// Updates the model from a heartbeat and sets the worker's backfill paces.
 void fleet_scheduler::pace(worker_view& it) {
   const std::vector<serving_task> serving = serving_tasks(it);
-  std::vector<backfill_task> fills = backfill_tasks(it);
+  std::vector<backfill_task> tasks = backfill_tasks(it);
   std::vector<image_use> use;
-  use.reserve(fills.size());
-  for (const backfill_task& fill : fills) use.push_back({fill.image, fill.use});
+  use.reserve(tasks.size());
+  for (const backfill_task& backfill : tasks)
+    use.push_back({backfill.image, backfill.use});
   std::erase_if(it.excess,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const serving_task& task : serving) update_model(it, task, use);
-  for (const serving_task& task : serving) throttle_backfill(it, task, fills);
-  enforce_targets(it, serving, fills);
-  mark_throttled(it, fills);
+  for (const serving_task& task : serving) throttle_backfill(it, task, tasks);
+  enforce_targets(it, serving, tasks);
+  mark_throttled(it, tasks);
   it.pace.clear();
-  for (const backfill_task& fill : fills) {
+  for (const backfill_task& backfill : tasks) {
     const double percent =
-        std::floor(fill.share * full_pace / detail::pace_step) *
+        std::floor(backfill.share * full_pace / detail::pace_step) *
         detail::pace_step;
-    it.pace[fill.run] = static_cast<unsigned>(percent);
+    it.pace[backfill.run] = static_cast<unsigned>(percent);
   }
 }
 
 /// Last resort, independent of the model.
 void fleet_scheduler::enforce_targets(worker_view& it,
                                       const std::vector<serving_task>& serving,
-                                      std::vector<backfill_task>& fills) {
+                                      std::vector<backfill_task>& tasks) {
   std::erase_if(it.over_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   bool stop = false;
@@ -147,22 +148,23 @@
     }
   }
   if (!stop) return;
-  for (backfill_task& fill : fills) fill.share = 0;
+  for (backfill_task& backfill : tasks) backfill.share = 0;
 }
 
 void fleet_scheduler::mark_throttled(worker_view& it,
-                                     const std::vector<backfill_task>& fills) {
+                                     const std::vector<backfill_task>& tasks) {
   std::erase_if(it.held_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
-  for (const backfill_task& fill : fills) {
-    if (fill.share < detail::throttled_share) {
+  for (const backfill_task& backfill : tasks) {
+    if (backfill.share < detail::throttled_share) {
       workers_.marks().held_back.add(it);
-      const auto since = it.held_since.try_emplace(fill.run, it.heard).first;
+      const auto since =
+          it.held_since.try_emplace(backfill.run, it.heard).first;
       if (it.heard - since->second >= detail::move_after) {
-        it.unfit_until[fill.image] = it.heard + detail::image_ban_time;
+        it.unfit_until[backfill.image] = it.heard + detail::image_ban_time;
       }
-    } else if (fill.share >= detail::unthrottled_share) {
-      it.held_since.erase(fill.run);
+    } else if (backfill.share >= detail::unthrottled_share) {
+      it.held_since.erase(backfill.run);
     }
   }
 }
@@ -277,7 +279,7 @@
 /// that would lose more than `max_backfill_loss_cores`.
 void fleet_scheduler::throttle_backfill(const worker_view& it,
                                         const serving_task& task,
-                                        std::vector<backfill_task>& fills) {
+                                        std::vector<backfill_task>& tasks) {
   const image_id image = task.image;
   const auto known = it.excess.find(task.run);
   const double excess = known == it.excess.end() ? 0 : known->second;
@@ -286,23 +288,23 @@
   const double own = own_load(task.run.task, detail::order_age);
   double over = 1 - spare / own;
   std::vector<std::pair<double, backfill_task*>> costs;
-  for (backfill_task& fill : fills) {
-    const double cost = model_.cost(image, fill.image);
-    over += cost * fill.full_use * fill.share;
-    costs.emplace_back(cost, &fill);
+  for (backfill_task& backfill : tasks) {
+    const double cost = model_.cost(image, backfill.image);
+    over += cost * backfill.full_use * backfill.share;
+    costs.emplace_back(cost, &backfill);
   }
   std::stable_sort(
       costs.begin(), costs.end(),
       [](const auto& a, const auto& b) { return a.first > b.first; });
   std::vector<double> shares;
   double lost = 0;
-  for (const auto& [cost, fill] : costs) {
-    const double part = cost * fill->full_use * fill->share;
+  for (const auto& [cost, backfill] : costs) {
+    const double part = cost * backfill->full_use * backfill->share;
     const double remaining =
         over <= 0 || part <= 0 ? 1 : std::max(0.0, 1 - over / part);
     over -= part * (1 - remaining);
-    lost += fill->full_use * fill->share * (1 - remaining);
-    shares.push_back(fill->share * remaining);
+    lost += backfill->full_use * backfill->share * (1 - remaining);
+    shares.push_back(backfill->share * remaining);
   }
   if (lost > settings_.max_backfill_loss_cores) return;
   for (size_t i = 0; i < shares.size(); ++i) costs[i].second->share = shares[i];
@@ -319,8 +321,8 @@
     const double cost = model_.cost(serving, step.image);
     if (cost < negligible_cost) continue;
     double spare = max_added_load;
-    for (const auto& [fill, cpu] : it.load.fills) {
-      const double other = model_.cost(serving, fill);
+    for (const auto& [backfill, cpu] : it.load.fills) {
+      const double other = model_.cost(serving, backfill);
       if (other < negligible_cost) continue;
       spare -= other * detail::reference_use(it.beat, static_cast<double>(cpu));
     }
--- a/fleet/reservation-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -139,10 +139,10 @@
 
 /// Two tasks that leave too little memory for `make_large` and lose little work
 /// when evicted.
-inline fleet::step_spec make_batch(bool fills) {
+inline fleet::step_spec make_batch(bool backfill) {
   fleet::step_spec step = test_world::make_step(2, 500);
   step.set_memory_mb(450);
-  step.set_fills(fills);
+  step.set_fills(backfill);
   step.set_saves_progress(true);
   step.set_estimate_ms(60'000);
   return step;
--- a/fleet/reservation-test.cc
+++ b/fleet/reservation-test.cc
@@ -108,21 +108,21 @@
 TEST(capacity_reservations, runs_are_evicted_for_tasks_urgent_enough) {
   struct row {
     const char* name;
-    bool fills;
+    bool backfill;
     bool low_run;
     bool low_wait;
     int stops;
   };
-  const row rows[] = {{"fill tasks, as urgent", true, false, false, 1},
-                      {"fill tasks, less urgent", true, true, false, 1},
-                      {"fill tasks, more urgent", true, false, true, 0},
+  const row rows[] = {{"backfill tasks, as urgent", true, false, false, 1},
+                      {"backfill tasks, less urgent", true, true, false, 1},
+                      {"backfill tasks, more urgent", true, false, true, 0},
                       {"others, as urgent", false, false, false, 0},
                       {"others, both less urgent", false, true, true, 0},
                       {"others, less urgent", false, true, false, 1},
                       {"others, more urgent", false, false, true, 0}};
   for (const row& it : rows) {
     reservation_world world;
-    world.occupy("a", it.low_run, short_job, make_batch(it.fills));
+    world.occupy("a", it.low_run, short_job, make_batch(it.backfill));
     LONGS_EQUAL_TEXT(2, world.running(short_job), it.name);
     world.submit_to(it.low_wait, long_running_job, make_large());
     world.run_for(milliseconds(6'000));
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -286,13 +286,13 @@
   void update_model(worker_view& it, const serving_task& task,
                     const std::vector<image_use>& use);
   void throttle_backfill(const worker_view& it, const serving_task& task,
-                         std::vector<backfill_task>& fills);
+                         std::vector<backfill_task>& tasks);
   double added_load(image_id serving, const std::vector<image_use>& use) const;
   double own_load(const task_key& serving, milliseconds ahead) const;
   void enforce_targets(worker_view& it,
                        const std::vector<serving_task>& serving,
-                       std::vector<backfill_task>& fills);
-  void mark_throttled(worker_view& it, const std::vector<backfill_task>& fills);
+                       std::vector<backfill_task>& tasks);
+  void mark_throttled(worker_view& it, const std::vector<backfill_task>& tasks);
   bool may_move(const worker_view& it, const run_key& run) const;
   worker_view* find_better_worker(const worker_view& from, const run_key& run,
                                   const std::vector<worker_view*>& all);
--- a/fleet/waiting-serving-test.cc
+++ b/fleet/waiting-serving-test.cc
@@ -38,7 +38,7 @@
   int batch_tasks = 0;
   uint64_t batch_cpu = 0;
   uint64_t batch_memory = 0;
-  bool batch_fills = false;
+  bool batch_is_backfill = false;
   uint64_t serving_cpu = 2'000;
   uint32_t serving_tasks = 1;
   uint32_t anti_affinity = 0;
@@ -68,7 +68,7 @@
       fleet::step_spec step = test_world::make_step(
           static_cast<uint32_t>(filling_.batch_tasks), filling_.batch_cpu);
       step.set_memory_mb(filling_.batch_memory);
-      step.set_fills(filling_.batch_fills);
+      step.set_fills(filling_.batch_is_backfill);
       step.set_saves_progress(true);
       step.set_estimate_ms(60'000);
       step.set_image("batch");
@@ -230,11 +230,11 @@
        .short_cpu = 1'000,
        .serving_cpu = 3'000},
       {.name = "a whole worker", .short_cpu = 1'000, .serving_cpu = 4'000},
-      {.name = "fill tasks' memory",
+      {.name = "backfill tasks' memory",
        .batch_tasks = 6,
        .batch_cpu = 500,
        .batch_memory = 450,
-       .batch_fills = true},
+       .batch_is_backfill = true},
       {.name = "less urgent tasks' processors",
        .batch_tasks = 12,
        .batch_cpu = 1'000,
@@ -244,7 +244,7 @@
        .batch_tasks = 6,
        .batch_cpu = 500,
        .batch_memory = 450,
-       .batch_fills = true},
+       .batch_is_backfill = true},
       {.name = "label", .short_cpu = 500, .label = "fast"},
       {.name = "spread",
        .short_cpu = 500,
