--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -289,7 +289,7 @@
   // An order in an answer that the worker drops occupies capacity uselessly
   // until the worker's next heartbeat; an order that was never sent can be
   // withdrawn.
-  if (lag_.behind() && !scheduler_.is_open(it)) return {};
+  if (lag_.behind() && !scheduler_.has_open_call(it)) return {};
   if (is_overcommitted(it)) return {};
   std::vector<run_key> out;
   for (const run_key& run : book_.runs_on(it.id)) {
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -205,7 +205,8 @@
   it.failed_job = job;
   ++it.failures;
   const bool is_faulty =
-      it.failures >= settings_.scheduling.avoid_after && it.failed_jobs >= 2;
+      it.failures >= settings_.scheduling.avoid_after_failures &&
+      it.failed_jobs >= 2;
   if (!is_faulty) return;
   it.failures = it.failed_jobs = 0;
   avoid_worker(it, "fails the tasks it starts");
@@ -219,7 +220,8 @@
   const bool refused = std::any_of(ends.begin(), ends.end(), [](auto& end) {
     return end.outcome() == fleet::run_refused;
   });
-  if (!refused || ++it.refusals < settings_.scheduling.avoid_after) return;
+  if (!refused || ++it.refusals < settings_.scheduling.avoid_after_failures)
+    return;
   it.refusals = 0;
   avoid_worker(it, "refuses the tasks it is sent");
 }
@@ -298,7 +300,8 @@
     return task == nullptr || task->phase != task_phase::running ||
            task->run != run.run;
   });
-  const fleet_scheduler::rooms_made reserved = scheduler_.keep_rooms(evicting_);
+  const fleet_scheduler::reservation_result reserved =
+      scheduler_.reserve_capacity(evicting_);
   metrics_.counter("kestrelreel_rooms_kept_total") += reserved.kept;
   metrics_.counter("kestrelreel_room_looks_total") += reserved.looks;
   for (const auto& [run, step] : reserved.evictions) {
--- /dev/null
+++ b/fleet/delayed-steps.cc
@@ -0,0 +1,294 @@
+// Finds long-running tasks that are pending for too long and logs why.
+#include <algorithm>
+#include <map>
+#include <tuple>
+
+#include "fleet/scheduler.h"
+#include "kernel/log.h"
+
+namespace kestrelreel {
+namespace detail {
+
+constexpr const char* service_name = "scheduler";
+/// Waits below this are not logged.
+constexpr milliseconds report_after{1'000};
+constexpr milliseconds report_every{1'000};
+/// Steps logged per report: a line costs 1 us for each worker, and the
+/// reclaimable capacity some 6 us more, once for all lines.
+constexpr size_t max_reports = 8;
+
+}  // namespace detail
+
+/// Since when the tasks of the `time`-th repetition may run; none if they are
+/// not due yet. Jobs without a start time are due from the beginning.
+std::optional<time_point> fleet_scheduler::due_since(const job_entry& job,
+                                                     uint32_t time) const {
+  const fleet::fleet_job_spec& spec = job.spec;
+  if (spec.times() == 0) return time_point{};
+  const uint64_t due = spec.start_ms() + time * spec.interval_ms();
+  if (wall_ms_ < due) return std::nullopt;
+  return wall_read_at_ - milliseconds(wall_ms_ - due);
+}
+
+/// Number of the step's pending tasks without a proposed start: only the
+/// interrupted ones, or all with `include_new`.
+uint32_t fleet_scheduler::unplaced(const task_key& first,
+                                   bool include_new) const {
+  const job_entry* job = book_.find(first.job);
+  if (job == nullptr || !job->live()) return 0;
+  const auto& tasks = job->times[first.time][first.step].tasks;
+  uint32_t n = 0;
+  for (uint32_t i = 0; i < tasks.size(); ++i) {
+    const task_key key{first.job, first.time, first.step, i};
+    if (tasks[i].phase != task_phase::waiting || is_proposed(key)) continue;
+    if (include_new || is_interrupted(tasks[i])) ++n;
+  }
+  return n;
+}
+
+/// Adds one entry for interrupted tasks and one that also counts new ones.
+void fleet_scheduler::add_delayed_steps(const job_entry& job,
+                                        const task_key& first, time_point since,
+                                        std::vector<delayed_step>& out) const {
+  const auto& spec = job.spec.steps(static_cast<int>(first.step));
+  if (!spec.long_running() || spec.gang()) return;
+  if (!book_.step_is_due(job, first.time, first.step)) return;
+  const uint32_t priority = book_.queue_of(job).priority();
+  const uint32_t interrupted = unplaced(first, false);
+  const uint32_t all = unplaced(first, true);
+  if (interrupted > 0) {
+    out.push_back(
+        {priority, since, first, interrupted, spec.cpu_milli(), false});
+  }
+  // New tasks may wait longer: short jobs earn more with a processor.
+  if (all > interrupted &&
+      clock_.now() - since >= settings_.reserve_new_after) {
+    out.push_back({priority, since, first, all, spec.cpu_milli(), true});
+  }
+}
+
+/// Steps whose long-running tasks have been pending for `min_wait` since they
+/// were due, ordered by priority, then interrupted tasks before new ones, then
+/// smaller tasks first: if capacity is short, interrupted services resume and
+/// more tasks serve.
+std::vector<fleet_scheduler::delayed_step> fleet_scheduler::delayed_steps(
+    milliseconds min_wait) {
+  std::vector<delayed_step> out;
+  const time_point now = clock_.now();
+  for (const auto& [order, number] : book_.live()) {
+    const auto tracking = tracked_jobs_.find(number);
+    if (tracking == tracked_jobs_.end() || !tracking->second.pending_since)
+      continue;
+    const job_entry& job = *book_.find(number);
+    for (uint32_t time = 0; time < job.times.size(); ++time) {
+      const auto due = due_since(job, time);
+      if (!due) break;
+      const time_point since = std::max(*tracking->second.pending_since, *due);
+      if (now - since < min_wait) break;
+      for (uint32_t step = 0; step < job.times[time].size(); ++step) {
+        add_delayed_steps(job, {number, time, step, 0}, since, out);
+      }
+    }
+  }
+  std::stable_sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
+    return std::tie(a.priority, a.never_started, a.cpu, a.since) <
+           std::tie(b.priority, b.never_started, b.cpu, b.since);
+  });
+  return out;
+}
+
+/// Capacity held on each usable worker by runs that are not long-running, by
+/// kind: backfill, less urgent than `priority`, and all others.
+std::vector<fleet_scheduler::reclaimable> fleet_scheduler::reclaimable_for(
+    uint32_t priority) {
+  std::vector<reclaimable> out;
+  for (worker_view* it : candidates()) {
+    reclaimable& held = out.emplace_back(reclaimable{it, {}, {}, {}});
+    for (const run_key& run : book_.runs_on(it->id)) {
+      const fleet::step_spec* spec = book_.find_step(run.task);
+      if (spec == nullptr || spec->long_running()) continue;
+      const job_entry& job = *book_.find(run.task.job);
+      const bool less_urgent = book_.queue_of(job).priority() > priority;
+      resources& more = spec->fills() ? held.backfill
+                        : less_urgent ? held.less_urgent
+                                      : held.other;
+      if (!spec->fills()) more.cpu += spec->cpu_milli();
+      more.memory_mb += spec->memory_mb();
+      more.accelerators += spec->accelerators();
+    }
+  }
+  return out;
+}
+
+/// Release options of all usable workers.
+std::vector<fleet_scheduler::worker_releases> fleet_scheduler::all_releases(
+    uint32_t priority, const std::set<run_key>& stopping) {
+  std::vector<worker_releases> out;
+  for (worker_view* it : candidates()) {
+    worker_releases& worker = out.emplace_back(
+        worker_releases{it, release_options(*it, priority, stopping), {}});
+    for (const release_option& option : worker.options)
+      worker.total.add(option.frees);
+  }
+  return out;
+}
+
+fleet_scheduler::fit_counts fleet_scheduler::count_fits(
+    const pending_step& step, const std::vector<reclaimable>& workers) const {
+  const fleet::step_spec& spec = step.spec;
+  const auto rest = [](uint64_t all, uint64_t taken) {
+    return all - std::min(all, taken);
+  };
+  fit_counts out;
+  for (const reclaimable& it : workers) {
+    const worker_view& worker = *it.worker;
+    if (worker.beat.pool() != step.pool) continue;
+    ++out.usable;
+    if (!meets_constraints(worker, step)) {
+      ++out.excluded;
+      continue;
+    }
+    resources available;
+    available.cpu = rest(worker.beat.cpu_milli(), worker.load.cpu);
+    available.memory_mb = rest(worker.beat.memory_mb(), worker.load.memory_mb);
+    out.most_cpu = std::max(out.most_cpu, available.cpu);
+    out.most_memory = std::max(out.most_memory, available.memory_mb);
+    if (available.cpu >= spec.cpu_milli()) ++out.fit_cpu;
+    if (available.memory_mb >= spec.memory_mb()) ++out.fit_memory;
+    const auto fits_with = [&](const resources& more) -> uint64_t {
+      available.cpu += more.cpu;
+      available.memory_mb += more.memory_mb;
+      return available.cpu >= spec.cpu_milli() &&
+             available.memory_mb >= spec.memory_mb();
+    };
+    out.fit += fits_with({});
+    out.without_backfill += fits_with(it.backfill);
+    out.without_less_urgent += fits_with(it.less_urgent);
+    out.without_short += fits_with(it.other);
+  }
+  return out;
+}
+
+void fleet_scheduler::report_wait(const pending_step& step, uint64_t tasks,
+                                  milliseconds waited,
+                                  const std::vector<reclaimable>& workers) {
+  const fit_counts n = count_fits(step, workers);
+  log_event(detail::service_name, log_level::warn, "lasting-waits")
+      .with("step", to_text(step.first))
+      .with("tasks", tasks)
+      .with("waited-ms", waited.count())
+      .with("cpu", step.spec.cpu_milli())
+      .with("memory-mb", step.spec.memory_mb())
+      .with("workers", n.usable)
+      .with("barred", n.excluded)
+      .with("fit", n.fit)
+      .with("fit-cpu", n.fit_cpu)
+      .with("fit-memory", n.fit_memory)
+      .with("fit-without-fills", n.without_backfill)
+      .with("fit-without-lesser", n.without_less_urgent)
+      .with("fit-without-short", n.without_short)
+      .with("most-cpu", n.most_cpu)
+      .with("most-memory-mb", n.most_memory);
+}
+
+/// Logs unusable workers by reason, and the processors of the usable ones: in
+/// all, in use, in use by runs that their worker does not list, and reserved.
+void fleet_scheduler::report_processors() {
+  std::map<std::string, uint64_t> ruled_out;
+  resources all, taken, unlisted, reserved;
+  const size_t usable = candidates().size();
+  for (auto& [id, it] : workers_.views()) {
+    if (const char* reason = exclusion_reason(it)) {
+      ++ruled_out[reason];
+      continue;
+    }
+    all.cpu += it.beat.cpu_milli();
+    taken.cpu += it.load.cpu;
+    for (const kept_room& entry : it.kept) reserved.cpu += entry.cpu;
+    for (const run_key& run : book_.runs_on(id)) {
+      const fleet::step_spec* step = book_.find_step(run.task);
+      if (step == nullptr || step->fills() || it.rows.contains(run)) continue;
+      unlisted.cpu += step->cpu_milli();
+    }
+  }
+  log_event line(detail::service_name, log_level::warn, "lasting-room");
+  line.with("usable", usable)
+      .with("cpu", all.cpu)
+      .with("taken-cpu", taken.cpu)
+      .with("unlisted-cpu", unlisted.cpu)
+      .with("kept-cpu", reserved.cpu);
+  for (const auto& [reason, n] : ruled_out) line.with(reason, n);
+}
+
+void fleet_scheduler::report_waits() {
+  const time_point now = clock_.now();
+  if (now - waits_reported_at_ < detail::report_every) return;
+  waits_reported_at_ = now;
+  std::map<uint32_t, std::vector<reclaimable>> by_priority;
+  size_t lines = 0;
+  for (const delayed_step& wait : delayed_steps(detail::report_after)) {
+    if (lines == 0) report_processors();
+    if (++lines > detail::max_reports) return;
+    const auto [workers, inserted] = by_priority.try_emplace(wait.priority);
+    if (inserted) workers->second = reclaimable_for(wait.priority);
+    const job_entry& job = *book_.find(wait.first.job);
+    report_wait(pending_step_of(job, wait.first, false), wait.tasks,
+                now - wait.since, workers->second);
+  }
+}
+
+void fleet_scheduler::report_late_start(const placement& it,
+                                        bool long_running) {
+  const auto& since = tracking_of(it.task.job).pending_since;
+  if (!long_running || !since) return;
+  const milliseconds waited = clock_.now() - *since;
+  if (waited < detail::report_after) return;
+  log_event(detail::service_name, log_level::warn, "lasting-starts-late")
+      .with("task", to_text(it.task))
+      .with("worker", it.worker->id.str())
+      .with("waited-ms", waited.count());
+}
+
+/// Logs once that only evacuated workers meet the constraints of a step, which
+/// stays pending until the evacuation is cancelled.
+void fleet_scheduler::report_if_only_evacuated_fit(
+    const pending_step& step, const std::vector<worker_view*>& usable) {
+  if (book_.evacuated().empty() ||
+      reported_only_evacuated_.contains(step.first))
+    return;
+  const auto eligible = [&](const auto* it) {
+    return meets_constraints(*it, step);
+  };
+  if (std::any_of(usable.begin(), usable.end(), eligible)) return;
+  const auto& views = workers_.views();
+  const auto n = std::count_if(views.begin(), views.end(), [&](const auto& it) {
+    return is_evacuated(it.second) && eligible(&it.second);
+  });
+  if (n == 0) return;
+  reported_only_evacuated_.insert(step.first);
+  log_event(detail::service_name, log_level::warn, "step-waits-for-evacuation")
+      .with("step", to_text(step.first))
+      .with("label", step.spec.requires_label())
+      .with("workers-evacuated", n)
+      .with("data-centres", book_.evacuated().names());
+}
+
+void fleet_scheduler::release_reservation(worker_view& worker,
+                                          const task_key& step) {
+  const auto drop = [&](worker_view& it) {
+    const auto kept = std::find_if(
+        it.kept.begin(), it.kept.end(),
+        [&](const kept_room& entry) { return entry.step == step; });
+    if (kept == it.kept.end()) return false;
+    it.kept.erase(kept);
+    return true;
+  };
+  if (drop(worker)) return;
+  bool dropped = false;
+  workers_.marks().with_rooms.review([&](worker_view& it) {
+    dropped = dropped || drop(it);
+    return !it.kept.empty();
+  });
+}
+
+}  // namespace kestrelreel
--- a/fleet/evacuation-test-world.h
+++ b/fleet/evacuation-test-world.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "fleet/kept-rooms-test-world.h"
+#include "fleet/reservation-test-world.h"
 
 namespace kestrelreel {
 
@@ -15,7 +15,7 @@
 
 /// Workers `n1` and `n2` are in the data centre `north`, `s1` and `s2` in
 /// `south`. Each worker has capacity for four tasks.
-class evacuation_world : public rooms_world {
+class evacuation_world : public reservation_world {
  public:
   evacuation_world() {
     for (const char* name : {"n1", "n2", "s1", "s2"}) {
@@ -62,7 +62,7 @@
   /// Sends heartbeats from the workers of one data centre only.
   void call_all(char data_centre) {
     for (const auto& entry : workers) {
-      if (entry.first[0] == data_centre) call(entry.first);
+      if (entry.first[0] == data_centre) heartbeat(entry.first);
     }
   }
   /// Changes the leadership; only the committed state is kept.
@@ -131,7 +131,7 @@
 /// is known by then.
 inline void bring_to_stage(evacuation_world& world, start_stage stage) {
   if (stage == start_stage::waiting) world.submit(tested_job, {make_task()});
-  world.call("n1");
+  world.heartbeat("n1");
   switch (stage) {
     case start_stage::waiting:
       // The start was sent at once, in an answer that is lost.
@@ -150,13 +150,14 @@
       fleet::step_spec second = make_task();
       second.add_depends_on(0);
       world.submit(tested_job, {make_task(), second});
-      return world.call("n1");
+      return world.heartbeat("n1");
     }
     case start_stage::interrupted:
       world.submit(tested_job, {make_task()});
-      return world.call("n1");
+      return world.heartbeat("n1");
     case start_stage::due_later:
-      return world.submit_due(milliseconds(1'000), 1, tested_job, make_task());
+      return world.submit_scheduled(milliseconds(1'000), 1, tested_job,
+                                    make_task());
     case start_stage::later_job:
       return;
   }
--- a/fleet/evacuation-test.cc
+++ b/fleet/evacuation-test.cc
@@ -21,7 +21,7 @@
     LONGS_EQUAL_TEXT(0, fresh.runs_in('n'), it.name);
     // The start waits for the end of the evacuation or for capacity elsewhere.
     fresh.call_all('s');
-    fresh.go(milliseconds(4'000));
+    fresh.run_for(milliseconds(4'000));
     LONGS_EQUAL_TEXT(0, fresh.runs_in('n'), it.name);
     LONGS_EQUAL_TEXT(1, fresh.runs_in('s'), it.name);
     CHECK_FALSE_TEXT(fresh.has_duplicate_run(), it.name);
@@ -30,13 +30,13 @@
 
 TEST(evacuation, running_tasks_continue) {
   world.submit(short_job, {make_task(4)});
-  world.submit(lasting_job, {make_lasting(4, 1'000)});
+  world.submit(long_running_job, {make_long_running(4, 1'000)});
   world.call_all('n');
-  world.go(milliseconds(1'000));
+  world.run_for(milliseconds(1'000));
   const size_t before = world.runs_in('n');
   CHECK_TRUE(before > 0);
   world.evacuate();
-  world.go(milliseconds(10'000));
+  world.run_for(milliseconds(10'000));
   LONGS_EQUAL(before, world.runs_in('n'));
   LONGS_EQUAL(0, world.stops);
 }
@@ -46,34 +46,34 @@
 TEST(evacuation, no_capacity_is_reserved_there) {
   world.occupy("n1", true, short_job, make_batch(true));
   world.evacuate();
-  world.submit_to(false, lasting_job, make_large());
+  world.submit_to(false, long_running_job, make_large());
   for (int i = 0; i < 40; ++i) {
     world.pass(step_time);
     world.call_all('n');
   }
   LONGS_EQUAL(0, world.stops);
-  LONGS_EQUAL(0, world.rooms(lasting_job));
+  LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
 TEST(evacuation, reservations_there_are_released) {
   // Short by the estimate, but the tasks keep running.
   world.occupy("n1", false, short_job, make_short(4, 1'000, 1'000));
-  world.submit_to(false, lasting_job, make_lasting(1, 1'000));
+  world.submit_to(false, long_running_job, make_long_running(1, 1'000));
   for (int i = 0; i < 25; ++i) {
     world.pass(step_time);
-    world.call("n1");
+    world.heartbeat("n1");
   }
-  LONGS_EQUAL(1, world.rooms(lasting_job));
+  LONGS_EQUAL(1, world.reservations(long_running_job));
   world.evacuate();
   world.pass(step_time);
-  LONGS_EQUAL(0, world.rooms(lasting_job));
+  LONGS_EQUAL(0, world.reservations(long_running_job));
 }
 
 TEST(evacuation, tasks_start_there_again_after_the_evacuation) {
   world.call_all('n');
   world.evacuate();
   world.submit(short_job, {make_task(2)});
-  world.go(milliseconds(0));
+  world.run_for(milliseconds(0));
   world.call_all('n');
   LONGS_EQUAL(0, world.runs_in('n'));
   world.end_evacuation();
@@ -222,7 +222,7 @@
 // knows both and does not send the start.
 TEST(evacuation,
      start_recorded_before_the_order_is_not_sent_by_the_next_leader) {
-  world.call("n1");
+  world.heartbeat("n1");
   world.submit(tested_job, {make_task()});
   world.evacuate();
   world.elect();
@@ -239,19 +239,19 @@
 // Tasks of a worker that leaves an evacuated data centre start elsewhere as
 // after any other leave.
 TEST(evacuation, tasks_of_a_worker_that_leaves_there_start_elsewhere) {
-  world.call("n1");
-  world.submit(lasting_job, {make_lasting(1, 1'000)});
-  world.call("n1");
-  world.call("n1");
+  world.heartbeat("n1");
+  world.submit(long_running_job, {make_long_running(1, 1'000)});
+  world.heartbeat("n1");
+  world.heartbeat("n1");
   LONGS_EQUAL(1, world.runs_in('n'));
   world.evacuate();
   fleet::fleet_request request;
   request.set_worker_leaves("n1");
   world.ask(request);
   world.workers.erase("n1");
-  world.call("n2");
+  world.heartbeat("n2");
   world.call_all('s');
-  world.go(milliseconds(2'000));
+  world.run_for(milliseconds(2'000));
   LONGS_EQUAL(0, world.runs_in('n'));
   LONGS_EQUAL(1, world.runs_in('s'));
 }
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -88,7 +88,7 @@
 
 TEST(lagging_leader, steps_without_capacity_have_a_bounded_cost) {
   controller_settings settings = test_world::make_settings();
-  settings.scheduling.retry_looks_per_s = 50'000;
+  settings.scheduling.max_retry_evaluations_per_s = 50'000;
   test_world bounded(settings);
   bounded.configure(1, 99);
   for (int i = 0; i < 200; ++i) bounded.beat("w" + std::to_string(1'000 + i));
@@ -110,7 +110,7 @@
 
 TEST(lagging_leader, one_plan_looks_at_a_bounded_number_of_workers) {
   controller_settings settings = test_world::make_settings();
-  settings.scheduling.most_plan_looks = 1'000;
+  settings.scheduling.max_plan_evaluations = 1'000;
   test_world bounded(settings);
   bounded.configure(1, 99);
   for (int i = 0; i < 200; ++i) bounded.beat("w" + std::to_string(1'000 + i));
--- a/fleet/kept-rooms-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -1,5 +1,5 @@
-// What the tests of kept rooms share: two queues, and workers that end at once
-// what they are told to stop.
+// Shared by the tests of capacity reservations: two queues, and workers that
+// end runs as soon as they are told to stop them.
 #pragma once
 
 #include <string>
@@ -9,18 +9,18 @@
 namespace kestrelreel {
 
 constexpr uint64_t short_job = 1;
-constexpr uint64_t lasting_job = 2;
+constexpr uint64_t long_running_job = 2;
 constexpr uint64_t other_job = 3;
 constexpr milliseconds step_time{200};
-/// Tasks that never began wait for 3 s before room is kept.
-constexpr milliseconds until_kept{4'000};
+/// Covers the 3 s before capacity is reserved for a task that never started.
+constexpr milliseconds until_reserved{4'000};
 
-/// Two queues, and workers that end at once what they are told to stop.
-class rooms_world : public test_world {
+/// Two queues, and workers that end runs as soon as they are told to stop them.
+class reservation_world : public test_world {
  public:
-  explicit rooms_world(milliseconds stop = milliseconds(200),
-                       size_t worker_looks = 100'000)
-      : test_world(make_timed(this, stop, worker_looks)) {
+  explicit reservation_world(milliseconds stop = milliseconds(200),
+                             size_t max_evaluations = 100'000)
+      : test_world(make_timed(this, stop, max_evaluations)) {
     fleet::fleet_config config = make_config(1);
     fleet::queue_route low = config.queues(0);
     low.set_name("low");
@@ -40,9 +40,9 @@
     ask(request);
   }
 
-  /// A job of so many times, 2 s apart, the first of which is due in that time.
-  void submit_due(milliseconds ahead, uint32_t times, uint64_t job,
-                  const fleet::step_spec& step) {
+  /// Submits a job with repetitions 2 s apart, the first due after `ahead`.
+  void submit_scheduled(milliseconds ahead, uint32_t times, uint64_t job,
+                        const fleet::step_spec& step) {
     fleet::fleet_request request = make_submit(job, {step});
     fleet::fleet_job_spec& spec = *request.mutable_job()->mutable_submit();
     spec.set_times(times);
@@ -51,8 +51,8 @@
     ask(request);
   }
 
-  /// They count among the workers, but carry nothing of the queues' pool.
-  void add_elsewhere(int n) {
+  /// Adds workers of another pool, which get no tasks of the queues.
+  void add_other_pool_workers(int n) {
     for (int i = 0; i < n; ++i) {
       const std::string name = "other" + std::to_string(i);
       workers[name].set_worker(name);
@@ -61,7 +61,7 @@
     }
   }
 
-  void call(const std::string& name) {
+  void heartbeat(const std::string& name) {
     const fleet::worker_orders orders = beat(name);
     for (const fleet::stop_order& it : orders.stops()) {
       ++stops;
@@ -69,27 +69,27 @@
     }
   }
 
-  void go(milliseconds n) {
+  void run_for(milliseconds n) {
     for (milliseconds at{0}; at < n; at += step_time) {
       pass(step_time);
-      for (const auto& entry : workers) call(entry.first);
+      for (const auto& entry : workers) heartbeat(entry.first);
     }
   }
 
-  /// The worker gets those tasks and works on them.
+  /// Submits the step and lets the worker start its tasks.
   void occupy(const std::string& name, bool low, uint64_t job,
               const fleet::step_spec& step) {
-    call(name);
+    heartbeat(name);
     submit_to(low, job, step);
-    call(name);
-    call(name);
+    heartbeat(name);
+    heartbeat(name);
   }
 
-  size_t rooms(uint64_t job) {
+  size_t reservations(uint64_t job) {
     size_t n = 0;
     for (const auto& [id, it] : controller.workers().views()) {
-      for (const kept_room& room : it.kept) {
-        n += room.step.job == job_number(job) ? 1U : 0U;
+      for (const kept_room& entry : it.kept) {
+        n += entry.step.job == job_number(job) ? 1U : 0U;
       }
     }
     return n;
@@ -108,12 +108,13 @@
   int stops = 0;
 
  private:
-  /// The time of day goes on with the virtual clock.
-  static controller_settings make_timed(rooms_world* it, milliseconds stop,
-                                        size_t worker_looks) {
+  /// The time of day advances with the virtual clock.
+  static controller_settings make_timed(reservation_world* it,
+                                        milliseconds stop,
+                                        size_t max_evaluations) {
     controller_settings settings = make_settings();
     settings.worker_stop = stop;
-    settings.scheduling.most_worker_looks = worker_looks;
+    settings.scheduling.max_reservation_evaluations = max_evaluations;
     settings.wall_clock_ms = [it] {
       return static_cast<uint64_t>(it->clock.now().count());
     };
@@ -121,7 +122,7 @@
   }
 };
 
-/// Short tasks that go on, and still take so long by all that is known.
+/// Short tasks with an estimate of `ms`; they run until a test ends them.
 inline fleet::step_spec make_short(uint32_t count, uint64_t cpu, uint64_t ms) {
   fleet::step_spec step = test_world::make_step(count, cpu);
   step.set_memory_mb(10);
@@ -129,26 +130,26 @@
   return step;
 }
 
-inline fleet::step_spec make_lasting(uint32_t count, uint64_t cpu) {
+inline fleet::step_spec make_long_running(uint32_t count, uint64_t cpu) {
   fleet::step_spec step = test_world::make_step(count, cpu);
   step.set_memory_mb(10);
   step.set_long_running(true);
   return step;
 }
 
-/// Two tasks that leave too little memory for `make_large`, and that lose
-/// little by a stop.
-inline fleet::step_spec make_batch(bool fills) {
+/// Two tasks that leave too little memory for `make_large` and lose little work
+/// when evicted.
+inline fleet::step_spec make_batch(bool backfill) {
   fleet::step_spec step = test_world::make_step(2, 500);
   step.set_memory_mb(450);
-  step.set_fills(fills);
+  step.set_fills(backfill);
   step.set_saves_progress(true);
   step.set_estimate_ms(60'000);
   return step;
 }
 
 inline fleet::step_spec make_large() {
-  fleet::step_spec step = make_lasting(1, 1'000);
+  fleet::step_spec step = make_long_running(1, 1'000);
   step.set_memory_mb(400);
   return step;
 }
--- /dev/null
+++ b/fleet/reservations.cc
@@ -0,0 +1,414 @@
+// Reserves capacity for long-running tasks that are pending for too long.
+//
+// Short tasks fill each gap as it opens, so that no gap grows large enough for
+// a larger task. For a delayed one the scheduler selects the worker on which
+// capacity is free soonest at the least loss, and reserves it there.
+#include <algorithm>
+#include <map>
+#include <utility>
+
+#include "fleet/scheduler.h"
+#include "kernel/log.h"
+
+namespace kestrelreel {
+namespace detail {
+
+constexpr const char* service_name = "scheduler";
+constexpr size_t hundred = 100;
+constexpr double ms_per_s = 1'000;
+constexpr double full_percent = 100;
+constexpr double milli = 1'000;
+/// Assumed run time, in seconds, of a task without an estimate.
+constexpr double default_run_s = 10;
+/// Below this progress, in percent, a run's pace is too uncertain to use.
+constexpr double min_progress_percent = 5;
+/// Work lost, in seconds, by evicting a run that saves its progress: half a
+/// second since its last checkpoint, and a quarter to restore it.
+constexpr double checkpoint_loss_s = 0.75;
+/// Worth of a lost core-second in seconds of a long-running task: users value
+/// the core-second at 0.018 and the second at 0.035.
+constexpr double seconds_per_core_second = 0.5;
+/// Costs in seconds: serving images that share a worker lose backfill pace and
+/// targets; tasks of one step on one worker are lost together.
+constexpr double image_mismatch_s = 0.3;
+constexpr double same_step_s = 0.2;
+/// Minimum pause before a step without a reservation is tried again, unless
+/// it is overdue, and the maximum number of steps in that pause.
+constexpr milliseconds min_pause{1'000};
+constexpr size_t max_paused_steps = 1'000;
+
+uint64_t excess(uint64_t taken, uint64_t capacity) {
+  return taken - std::min(taken, capacity);
+}
+
+/// Remaining run time by the estimate and by the pace so far.
+double remaining_s(const worker_view& it, const run_key& run,
+                   const fleet::step_spec& spec, time_point now) {
+  const double whole = spec.estimate_ms() > 0
+                           ? static_cast<double>(spec.estimate_ms()) / ms_per_s
+                           : default_run_s;
+  const auto row = it.rows.find(run);
+  const auto sent = it.sent.find(run);
+  if (row == it.rows.end() || sent == it.sent.end()) return whole;
+  const double percent = row->second.percent();
+  const double left = std::max(0.0, full_percent - percent);
+  const double by_estimate = whole * left / full_percent;
+  if (percent < min_progress_percent) return by_estimate;
+  const auto passed = static_cast<double>((now - sent->second).count());
+  return std::max(by_estimate, passed / ms_per_s * left / percent);
+}
+
+}  // namespace detail
+
+void fleet_scheduler::resources::add(const resources& it) {
+  cpu += it.cpu;
+  memory_mb += it.memory_mb;
+  accelerators += it.accelerators;
+}
+
+void fleet_scheduler::resources::subtract(const resources& it) {
+  cpu -= it.cpu;
+  memory_mb -= it.memory_mb;
+  accelerators -= it.accelerators;
+}
+
+bool fleet_scheduler::resources::covers(const resources& need) const {
+  return cpu >= need.cpu && memory_mb >= need.memory_mb &&
+         accelerators >= need.accelerators;
+}
+
+/// Priority of the step's queue; the lowest if the job is unknown.
+uint32_t fleet_scheduler::priority_of(const task_key& step) const {
+  const job_entry* job = book_.find(step.job);
+  return job == nullptr ? UINT32_MAX : book_.queue_of(*job).priority();
+}
+
+/// True if tasks of that priority must not use the reservation.
+bool fleet_scheduler::blocks(const kept_room& kept, uint32_t priority) const {
+  return priority_of(kept.step) <= priority;
+}
+
+/// True if a long-running task of that priority may evict the run: backfill
+/// runs yield to equal or higher priority, others only to higher.
+bool fleet_scheduler::may_evict(const run_key& run, uint32_t priority) const {
+  const fleet::step_spec& spec = *book_.find_step(run.task);
+  if (spec.long_running() || spec.gang()) return false;
+  const uint32_t own = priority_of(run.task);
+  return spec.fills() ? own >= priority : own > priority;
+}
+
+/// Work lost by evicting the run, in seconds of a long-running task.
+double fleet_scheduler::eviction_cost(const worker_view& it,
+                                      const run_key& run) const {
+  const fleet::step_spec& spec = *book_.find_step(run.task);
+  const auto row = it.rows.find(run);
+  const double percent = row == it.rows.end() ? 0 : row->second.percent();
+  const double done = percent * static_cast<double>(spec.estimate_ms()) /
+                      detail::full_percent / detail::ms_per_s;
+  const double lost = spec.saves_progress() ? detail::checkpoint_loss_s : done;
+  return lost * static_cast<double>(spec.cpu_milli()) / detail::milli *
+         detail::seconds_per_core_second;
+}
+
+/// Release options of the worker's runs, the cheapest first. A run is evicted
+/// only if that costs less than the wait for its end.
+std::vector<fleet_scheduler::release_option> fleet_scheduler::release_options(
+    const worker_view& it, uint32_t priority,
+    const std::set<run_key>& stopping) const {
+  std::vector<release_option> options;
+  const double stop_s =
+      static_cast<double>(settings_.worker_stop.count()) / detail::ms_per_s;
+  for (const run_key& run : book_.runs_on(it.id)) {
+    const fleet::step_spec* spec = book_.find_step(run.task);
+    if (spec == nullptr || spec->long_running()) continue;
+    release_option option{run, {}, 0, 0, false};
+    option.frees.cpu = spec->fills() ? 0 : spec->cpu_milli();
+    option.frees.memory_mb = spec->memory_mb();
+    option.frees.accelerators = spec->accelerators();
+    option.seconds = detail::remaining_s(it, run, *spec, clock_.now());
+    const double cost = stop_s + eviction_cost(it, run);
+    if (stopping.contains(run)) {
+      option.seconds = std::min(option.seconds, stop_s);
+    } else if (may_evict(run, priority) && cost < option.seconds) {
+      option.seconds = stop_s;
+      option.cost = cost - stop_s;
+      option.evict = true;
+    }
+    options.push_back(option);
+  }
+  std::stable_sort(options.begin(), options.end(),
+                   [](const auto& a, const auto& b) {
+                     return a.seconds + a.cost < b.seconds + b.cost;
+                   });
+  return options;
+}
+
+/// Capacity that a worker lacks for one more task of the step. Reservations of
+/// equal or higher priority count as taken.
+fleet_scheduler::resources fleet_scheduler::shortage(
+    const worker_view& it, const pending_step& step) const {
+  const fleet::step_spec& spec = step.spec;
+  resources need{it.load.cpu + spec.cpu_milli(),
+                 it.load.memory_mb + spec.memory_mb(),
+                 uint64_t{it.load.accelerators} + spec.accelerators()};
+  for (const kept_room& kept : it.kept) {
+    if (!blocks(kept, step.priority)) continue;
+    need.add({kept.cpu, kept.memory_mb, kept.accelerators});
+  }
+  need.cpu = detail::excess(need.cpu, it.beat.cpu_milli());
+  need.memory_mb = detail::excess(need.memory_mb, it.beat.memory_mb());
+  need.accelerators = detail::excess(need.accelerators, it.beat.accelerators());
+  return need;
+}
+
+/// The first options that free the needed capacity within the limit, or none.
+/// Options that the others make redundant are removed, since each needless
+/// eviction loses work.
+std::optional<fleet_scheduler::chosen_releases>
+fleet_scheduler::choose_releases(const resources& need,
+                                 const std::vector<release_option>& options,
+                                 milliseconds limit) {
+  const double longest = static_cast<double>(limit.count()) / detail::ms_per_s;
+  resources all;
+  chosen_releases out;
+  for (const release_option& option : options) {
+    const resources& more = option.frees;
+    const bool helps =
+        (all.cpu < need.cpu && more.cpu > 0) ||
+        (all.memory_mb < need.memory_mb && more.memory_mb > 0) ||
+        (all.accelerators < need.accelerators && more.accelerators > 0);
+    if (!helps || option.seconds > longest) continue;
+    all.add(more);
+    out.push_back(&option);
+  }
+  if (!all.covers(need)) return std::nullopt;
+  for (size_t i = out.size(); i-- > 0;) {
+    resources rest = all;
+    rest.subtract(out[i]->frees);
+    if (!rest.covers(need)) continue;
+    all = rest;
+    out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
+  }
+  return out;
+}
+
+/// How to free capacity for the step on a worker, if possible.
+std::optional<fleet_scheduler::reservation_plan>
+fleet_scheduler::plan_reservation(const worker_releases& worker,
+                                  const resources& need,
+                                  const pending_step& step,
+                                  milliseconds limit) const {
+  worker_view& it = *worker.worker;
+  if (!meets_constraints(it, step)) return std::nullopt;
+  auto same = static_cast<uint32_t>(
+      std::count_if(it.kept.begin(), it.kept.end(),
+                    [&](const auto& kept) { return kept.step == step.first; }));
+  same += it.load.of_step(step.first);
+  const uint32_t spread = step.spec.anti_affinity();
+  if (spread > 0 && same >= spread) return std::nullopt;
+  const auto chosen = choose_releases(need, worker.options, limit);
+  if (!chosen) return std::nullopt;
+  reservation_plan out{&it, 0, 0, {}};
+  for (const release_option* option : *chosen) {
+    out.seconds = std::max(out.seconds, option->seconds);
+    out.cost += option->cost;
+    if (option->evict) out.evictions.push_back(option->run);
+  }
+  out.cost += out.seconds + detail::same_step_s * same -
+              detail::image_mismatch_s * image_affinity(it, step.image);
+  return out;
+}
+
+/// Drops reservations that expired or lost their task or worker; returns how
+/// many are left.
+size_t fleet_scheduler::drop_stale() {
+  std::map<task_key, uint32_t> wanted;
+  size_t n = 0;
+  workers_.marks().with_rooms.review([&](worker_view& it) {
+    const bool usable = is_usable(it);
+    std::erase_if(it.kept, [&](const kept_room& kept) {
+      if (!usable || kept.until <= clock_.now()) return true;
+      const auto [left, inserted] = wanted.try_emplace(kept.step);
+      if (inserted) left->second = unplaced(kept.step, true);
+      if (left->second == 0) return true;
+      --left->second;
+      return false;
+    });
+    n += it.kept.size();
+    return !it.kept.empty();
+  });
+  return n;
+}
+
+std::optional<fleet_scheduler::reservation_plan> fleet_scheduler::best_plan(
+    const pending_step& step, std::vector<worker_releases>& workers,
+    milliseconds limit, size_t& examined) const {
+  std::optional<reservation_plan> best;
+  for (worker_releases& it : workers) {
+    const resources need = shortage(*it.worker, step);
+    // In a full fleet few workers could fit the task even without short runs.
+    if (!it.total.covers(need)) continue;
+    ++examined;
+    std::optional<reservation_plan> found =
+        plan_reservation(it, need, step, limit);
+    if (!found || (best && best->cost <= found->cost)) continue;
+    best = std::move(found);
+  }
+  return best;
+}
+
+/// The least urgent reservation among those below that priority.
+std::optional<fleet_scheduler::reservation_ref>
+fleet_scheduler::find_less_urgent(uint32_t priority) {
+  std::optional<reservation_ref> out;
+  workers_.marks().with_rooms.review([&](worker_view& it) {
+    for (size_t i = 0; i < it.kept.size(); ++i) {
+      const uint32_t own = priority_of(it.kept[i].step);
+      if (own <= priority) continue;
+      priority = own;
+      out = reservation_ref{&it, i};
+    }
+    return !it.kept.empty();
+  });
+  return out;
+}
+
+/// Drops less urgent reservations on the worker, which the new plan ignored,
+/// and elsewhere while the limit on reservations is reached.
+void fleet_scheduler::drop_less_urgent(worker_view& worker, uint32_t priority,
+                                       reservation_round& round) {
+  round.result.total -= std::erase_if(
+      worker.kept, [&](const auto& kept) { return !blocks(kept, priority); });
+  while (round.result.total >= round.max_reservations) {
+    const auto found = find_less_urgent(priority);
+    if (!found) return;
+    auto& kept = found->worker->kept;
+    kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(found->index));
+    --round.result.total;
+  }
+}
+
+void fleet_scheduler::reserve_for_step(const delayed_step& wait,
+                                       uint32_t& reserved,
+                                       reservation_round& round) {
+  reservation_result& out = round.result;
+  if (reserved >= wait.tasks) return;
+  if (wait.never_started) {
+    const job_entry& job = *book_.find(wait.first.job);
+    const uint64_t available = new_task_capacity(
+        book_.queue_of(job).pool(), wait.priority, tracking_of(wait.first.job));
+    if (available < wait.cpu) return;
+  }
+  if (no_reservation_until_.contains(wait.first)) {
+    out.skipped += wait.tasks - reserved;
+    return;
+  }
+  // Estimates are often far off. Without a limit an overdue task gets the
+  // capacity that is free soonest, before small tasks take it piece by piece.
+  const bool overdue =
+      !wait.never_started &&
+      clock_.now() - wait.since >= settings_.long_running_first_after;
+  const milliseconds limit =
+      overdue ? milliseconds::max() : settings_.reservation_ttl;
+  const pending_step step =
+      pending_step_of(*book_.find(wait.first.job), wait.first, false);
+  for (; reserved < wait.tasks; ++reserved) {
+    if (round.scans >= round.max_scans) return;
+    if (out.total >= round.max_reservations && !find_less_urgent(wait.priority))
+      return;
+    ++round.scans;
+    const auto [workers, inserted] = round.releases.try_emplace(wait.priority);
+    if (inserted) workers->second = all_releases(wait.priority, round.stopping);
+    const auto best =
+        best_plan(step, workers->second, limit, out.workers_examined);
+    if (!best) {
+      out.unmet += wait.tasks - reserved;
+      if (no_reservation_until_.size() >= detail::max_paused_steps) return;
+      no_reservation_until_[wait.first] =
+          clock_.now() +
+          (overdue ? round.cycle : std::max(round.cycle, detail::min_pause));
+      return;
+    }
+    drop_less_urgent(*best->worker, wait.priority, round);
+    add_reservation(*best, step, workers->second, round);
+  }
+}
+
+fleet_scheduler::reservation_result fleet_scheduler::reserve_capacity(
+    const std::set<run_key>& stopping) {
+  const time_point now = clock_.now();
+  const size_t n = workers_.views().size();
+  const auto pause = std::chrono::duration_cast<milliseconds>(
+      settings_.reservation_pause_per_worker * n);
+  const milliseconds passed = now - reserved_at_;
+  if (passed < pause) return {};
+  reserved_at_ = now;
+  std::erase_if(no_reservation_until_,
+                [&](const auto& it) { return it.second <= now; });
+  reservation_round round;
+  pool_uses_.clear();
+  reservation_result& out = round.result;
+  round.stopping = stopping;
+  round.max_reservations =
+      std::max<size_t>(1, n * settings_.max_reserved_percent / detail::hundred);
+  round.max_scans = std::max<size_t>(
+      1, settings_.max_reservation_evaluations / std::max<size_t>(1, n));
+  out.total = drop_stale();
+  std::map<task_key, uint32_t> reserved;
+  workers_.marks().with_rooms.review([&](const worker_view& it) {
+    for (const kept_room& entry : it.kept) ++reserved[entry.step];
+    return !it.kept.empty();
+  });
+  milliseconds longest{0};
+  const std::vector<delayed_step> late = delayed_steps(settings_.reserve_after);
+  // Steps without a plan pause for a cycle; else the first ones would use up
+  // every round. The last round counts half, as it may begin earlier.
+  round.cycle =
+      std::min(passed, detail::min_pause) * (late.size() / round.max_scans) +
+      std::min(passed, detail::min_pause) / 2;
+  for (const delayed_step& wait : late) {
+    longest = std::max(longest, now - wait.since);
+    reserve_for_step(wait, reserved[wait.first], round);
+  }
+  if (out.added + out.unmet + out.skipped == 0) return out;
+  log_event(detail::service_name, log_level::info, "rooms-kept")
+      .with("new", out.added)
+      .with("all", out.total)
+      .with("most", round.max_reservations)
+      .with("without", out.unmet)
+      .with("left-alone", out.skipped)
+      .with("stops", out.evictions.size())
+      .with("looks", out.workers_examined)
+      .with("longest-wait-ms", longest.count());
+  return out;
+}
+
+/// Records a reservation and its evictions, so that no run is evicted twice.
+void fleet_scheduler::add_reservation(const reservation_plan& it,
+                                      const pending_step& step,
+                                      std::vector<worker_releases>& workers,
+                                      reservation_round& round) {
+  const fleet::step_spec& spec = step.spec;
+  workers_.marks().with_rooms.add(*it.worker);
+  it.worker->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
+                             spec.accelerators(),
+                             clock_.now() + settings_.reservation_ttl});
+  ++round.result.total;
+  ++round.result.added;
+  for (const run_key& run : it.evictions) {
+    round.result.evictions.push_back({run, step.first});
+    round.stopping.insert(run);
+  }
+  for (worker_releases& other : workers) {
+    if (other.worker != it.worker) continue;
+    for (release_option& option : other.options) {
+      const bool stopped = std::find(it.evictions.begin(), it.evictions.end(),
+                                     option.run) != it.evictions.end();
+      if (!stopped) continue;
+      option.evict = false;
+      option.cost = 0;
+    }
+  }
+}
+
+}  // namespace kestrelreel
