--- a/daemon/fleet-record-beats.cc
+++ b/daemon/fleet-record-beats.cc
@@ -51,7 +51,8 @@
 }
 
 void fleet_record_service::pass_on_soon() {
-  if (!intake_.has_news() || std::exchange(pass_on_armed_, true)) return;
+  if (!intake_.has_pending_calls() || std::exchange(pass_on_armed_, true))
+    return;
   pass_on_timer_.expires_after(detail::pass_on_interval);
   pass_on_timer_.async_wait([this](boost::system::error_code ec) {
     pass_on_armed_ = false;
@@ -63,7 +64,7 @@
 void fleet_record_service::pass_on() {
   const std::string leader = leader_told();
   const bool here = leader == context_.settings.box.str();
-  if (leader.empty() || !intake_.has_news()) return;
+  if (leader.empty() || !intake_.has_pending_calls()) return;
   if (here && !controller_.leading()) return;
   fleet::beat_batch batch = intake_.collect(leader);
   if (batch.beats().empty()) return;
@@ -71,7 +72,7 @@
     controller_.take_beats(batch, [this](fleet::beat_answer answer) {
       fleet::beat_answers one;
       *one.add_answers() = std::move(answer);
-      intake_.answered(one);
+      intake_.handle_answers(one);
     });
     return settle_soon();
   }
--- a/daemon/fleet-record-service.cc
+++ b/daemon/fleet-record-service.cc
@@ -51,7 +51,8 @@
 
 controller_settings fleet_record_service::make_controller_settings() const {
   controller_settings settings;
-  settings.leases.hold = std::min(context_.settings.worker_hold, longest_hold);
+  settings.leases.duration =
+      std::min(context_.settings.worker_hold, max_lease_duration);
   settings.worker_stop = context_.settings.worker_stop;
   settings.data_centres = context_.settings.data_centres;
   settings.data_centres.push_back(context_.settings.data_centre.str());
@@ -235,7 +236,7 @@
   }
   if (frame.has_beats()) return on_beats(from, frame.beats());
   if (frame.has_beat_answers()) {
-    intake_.answered(frame.beat_answers());
+    intake_.handle_answers(frame.beat_answers());
     return pass_on_soon();
   }
   if (!frame.has_hello()) return;
@@ -255,7 +256,7 @@
   fleet::fleet_frame frame;
   frame.mutable_hello()->set_data_centre(context_.settings.data_centre.str());
   frame.mutable_hello()->set_beat_address(context_.settings.control_address);
-  if (const auto way = intake_.way(); way && !controller_.leading()) {
+  if (const auto way = intake_.leader_rtt(); way && !controller_.leading()) {
     frame.mutable_hello()->set_way_ms(static_cast<uint64_t>(way->count()));
   }
   const proto::membership& members = replica_->state().members();
@@ -340,8 +341,8 @@
   check_role();
   controller_.tick();
   send_answers();
-  directory_.know_own_way(intake_.way());
-  intake_.know_way_elsewhere(directory_.shortest_way(context_.clock.now()));
+  directory_.set_own_rtt(intake_.leader_rtt());
+  intake_.set_best_peer_rtt(directory_.best_peer_rtt(context_.clock.now()));
   intake_.expire();
   pass_on();
   greet_controls();
--- a/daemon/fleet-record-service.h
+++ b/daemon/fleet-record-service.h
@@ -86,7 +86,7 @@
   std::unique_ptr<blocking_thread> disk_thread_;
   leader_lease lease_;
   fleet_controller controller_;
-  beat_intake intake_;
+  heartbeat_intake intake_;
   intake_directory directory_;
   // Answers to heartbeats, by the box that took them in.
   std::map<box_id, fleet::beat_answers> answers_;
--- a/fleet/beat-intake-test.cc
+++ b/fleet/beat-intake-test.cc
@@ -11,10 +11,10 @@
 
 using namespace kestrelreel;
 
-TEST_GROUP(beat_intake) {
+TEST_GROUP(heartbeat_intake) {
   test_clock clock;
   metrics_registry metrics;
-  beat_intake intake{{}, clock, metrics};
+  heartbeat_intake intake{{}, clock, metrics};
   lease_settings leases;
   worker_table table{leases, clock};
   fleet::worker_beat beat;
@@ -50,13 +50,13 @@
     it.set_sequence(sequence);
     it.mutable_response()->set_status(fleet::fleet_ok);
     it.mutable_response()->set_wants_whole(wants_whole);
-    intake.answered(all);
+    intake.handle_answers(all);
   }
   /// What the leader took in of all that is passed on.
   worker_table::arrival pass_on(const char* leader = "L") {
     const fleet::beat_batch batch = intake.collect(leader);
     LONGS_EQUAL(1, batch.beats_size());
-    return table.heard(batch.beats(0));
+    return table.receive_heartbeat(batch.beats(0));
   }
   void check_rows(const worker_view& it) {
     LONGS_EQUAL(beat.running_size(), it.rows.size());
@@ -71,7 +71,7 @@
   }
 };
 
-TEST(beat_intake, differences_tell_the_same_as_whole_heartbeats) {
+TEST(heartbeat_intake, differences_tell_the_same_as_whole_heartbeats) {
   seeded_random random(5);
   uint32_t next = 0;
   for (int i = 0; i < 200; ++i) {
@@ -98,7 +98,7 @@
   LONGS_EQUAL(200, answers);
 }
 
-TEST(beat_intake, quiet_heartbeat_passes_on_no_rows) {
+TEST(heartbeat_intake, quiet_heartbeat_passes_on_no_rows) {
   for (uint32_t i = 0; i < 20; ++i) add_row(i, 1);
   call();
   pass_on();
@@ -111,7 +111,7 @@
   CHECK_TRUE(batch.ByteSizeLong() < 40);
 }
 
-TEST(beat_intake, leader_that_lacks_the_base_asks_for_all) {
+TEST(heartbeat_intake, leader_that_lacks_the_base_asks_for_all) {
   struct row {
     const char* name;
     bool forgets;
@@ -121,25 +121,26 @@
                       {"another box passed one on", false, true}};
   for (const row& it : rows) {
     worker_table fresh(leases, clock);
-    beat_intake other({}, clock, metrics);
+    heartbeat_intake other({}, clock, metrics);
     beat.clear_running();
     add_row(1, 5);
     call();
-    fresh.heard(intake.collect("L").beats(0));
+    fresh.receive_heartbeat(intake.collect("L").beats(0));
     answer(beat.sequence());
     if (it.forgets) fresh.clear();
     if (it.overtaken_elsewhere) {
       beat.set_sequence(beat.sequence() + 1);
-      fresh.heard(beat);
+      fresh.receive_heartbeat(beat);
     }
     add_row(2, 6);
     call();
-    CHECK_TRUE_TEXT(fresh.heard(intake.collect("L").beats(0)).wants_whole,
-                    it.name);
+    CHECK_TRUE_TEXT(
+        fresh.receive_heartbeat(intake.collect("L").beats(0)).wants_whole,
+        it.name);
     const int before = answers;
     answer(beat.sequence(), true);
     LONGS_EQUAL_TEXT(before, answers, it.name);
-    const auto arrival = fresh.heard(intake.collect("L").beats(0));
+    const auto arrival = fresh.receive_heartbeat(intake.collect("L").beats(0));
     CHECK_TRUE_TEXT(arrival.view != nullptr, it.name);
     check_rows(*arrival.view);
     answer(beat.sequence());
@@ -152,7 +153,8 @@
 // rows, so that a run could go on that the leader knew nothing of. The sequence
 // had been noted before the readings were looked at. Found by reading; no
 // intake has sent such a difference.
-TEST(beat_intake, all_of_what_was_asked_for_counts_under_the_same_sequence) {
+TEST(heartbeat_intake,
+     all_of_what_was_asked_for_counts_under_the_same_sequence) {
   add_row(1, 5);
   call();
   pass_on();
@@ -165,23 +167,23 @@
     unfit.add_readings(1);
     unfit.add_percents(1);
   }
-  CHECK_TRUE(table.heard(unfit).wants_whole);
+  CHECK_TRUE(table.receive_heartbeat(unfit).wants_whole);
   // Nothing builds on it.
   fleet::worker_beat next = unfit;
   next.set_base(unfit.sequence());
   next.set_sequence(unfit.sequence() + 1);
   next.clear_readings();
   next.clear_percents();
-  CHECK_TRUE(table.heard(next).wants_whole);
+  CHECK_TRUE(table.receive_heartbeat(next).wants_whole);
   add_row(2, 6);
   call();
   LONGS_EQUAL(unfit.sequence(), beat.sequence());
-  const auto arrival = table.heard(beat);
+  const auto arrival = table.receive_heartbeat(beat);
   CHECK_TRUE(arrival.view != nullptr);
   check_rows(*arrival.view);
 }
 
-TEST(beat_intake, another_leader_is_told_all_of_what_waits) {
+TEST(heartbeat_intake, another_leader_is_told_all_of_what_waits) {
   add_row(1, 5);
   call();
   pass_on("L");
@@ -192,7 +194,7 @@
   LONGS_EQUAL(1, batch.beats(0).running_size());
 }
 
-TEST(beat_intake, each_call_is_answered_once_and_only_by_its_own_answer) {
+TEST(heartbeat_intake, each_call_is_answered_once_and_only_by_its_own_answer) {
   call();
   pass_on();
   call();
@@ -209,7 +211,7 @@
 
 // Told in the log alone before, so that what was refused here was missing from
 // the counter that the leader keeps.
-TEST(beat_intake, heartbeats_refused_here_are_counted_by_cause) {
+TEST(heartbeat_intake, heartbeats_refused_here_are_counted_by_cause) {
   struct row {
     const char* name;
     int64_t sequence;
@@ -229,7 +231,7 @@
   };
   for (const row& it : rows) {
     metrics_registry counted;
-    beat_intake box({}, clock, counted);
+    heartbeat_intake box({}, clock, counted);
     fleet::worker_beat own;
     own.set_worker("b");
     own.set_pool("pool");
@@ -255,7 +257,7 @@
   }
 }
 
-TEST(beat_intake, call_without_an_answer_is_given_up_within_a_second) {
+TEST(heartbeat_intake, call_without_an_answer_is_given_up_within_a_second) {
   call();
   clock.advance(milliseconds(800));
   intake.expire();
@@ -264,7 +266,7 @@
   intake.expire();
   LONGS_EQUAL(1, answers);
   LONGS_EQUAL(fleet::fleet_unavailable, last.status());
-  CHECK_FALSE(intake.has_news());
+  CHECK_FALSE(intake.has_pending_calls());
 }
 
 TEST_GROUP(intake_directory){};
--- a/fleet/beat-intake.h
+++ b/fleet/beat-intake.h
@@ -1,4 +1,4 @@
-// Heartbeats that a control box takes in while another box leads.
+// Receives heartbeats on a control box while another box is the leader.
 #pragma once
 
 #include <functional>
@@ -15,137 +15,146 @@
 
 namespace kestrelreel {
 
-/// Limits of the intake.
+/// Limits and intervals of the intake.
 struct intake_settings {
-  /// A worker's readings are passed on this often: they are averages of half a
-  /// second.
-  milliseconds readings_every{400};
-  /// Its checkpoints this often: what a worker that is lost loses at most of
-  /// its work beyond the users' own interval of 1 s.
-  milliseconds checkpoints_every{2'000};
-  /// Calls without an answer of the leader are given up after this: a worker
+  /// Interval at which a worker's readings are forwarded; each reading is an
+  /// average over half a second.
+  milliseconds readings_interval{400};
+  /// Interval at which a worker's checkpoints are forwarded: the maximum work
+  /// that a lost worker loses beyond the users' checkpoint interval of 1 s.
+  milliseconds checkpoint_interval{2'000};
+  /// Calls that the leader has not answered fail after this time: a worker
   /// turns to another box after a second.
-  milliseconds answer_within{900};
-  /// Calls that the leader has and has not answered: at first, at least (so
-  /// that each of 220 workers is answered within 3 s, half of a lease, by a
-  /// leader that takes half a second), and at most.
-  size_t first_window = 256;
-  size_t least_window = 40;
-  size_t most_window = 1'024;
-  /// A leader most of whose answers come later than this has more calls than it
-  /// can take: a worker drops answers after 1 s, of which 100 ms may have
-  /// passed here, and as much again passes before a narrower window has its
-  /// effect.
-  milliseconds answer_slow{450};
-  /// A call that could not be passed on for so long is told to come again: the
-  /// rest of the worker's second is too short for the leader's answer.
-  milliseconds come_again_after{100};
-  milliseconds come_again_in{200};
-  /// Where no call was answered for so long, another box may reach the leader.
-  milliseconds unanswered{1'000};
-  /// What was seen of the way tells nothing any more after this.
-  milliseconds way_known_for{2'000};
+  milliseconds answer_timeout{900};
+  /// Bounds of the window of calls forwarded to the leader and not answered.
+  /// The minimum answers each of 220 workers within 3 s, half of a lease, with
+  /// a leader that takes half a second per answer.
+  size_t initial_window = 256;
+  size_t min_window = 40;
+  size_t max_window = 1'024;
+  /// The leader counts as overloaded while most of its answers take longer than
+  /// this. A worker drops answers after 1 s, of which a call may have waited
+  /// 100 ms on this box, and a smaller window takes effect only after about the
+  /// threshold again.
+  milliseconds slow_answer_threshold{450};
+  /// A call that can't be forwarded within this time is answered with a request
+  /// to retry: the rest of the worker's 1 s is too short for the leader's
+  /// answer.
+  milliseconds put_off_after{100};
+  milliseconds retry_delay{200};
+  /// Without any answer for this time, the leader is out of reach of this box,
+  /// and another box may reach it.
+  milliseconds unreachable_after{1'000};
+  /// Age after which the measured round-trip time is ignored.
+  milliseconds rtt_valid_for{2'000};
 };
 
-/// Reads heartbeats for the leader and passes on only what changed. It grants
-/// nothing and orders nothing by itself: each answer is the leader's, given to
-/// the very call that the leader read, so that a box that is slow, frozen or
-/// cut off can only delay. Pure: messages and time go in and out. Not
-/// thread-safe.
-class beat_intake {
+/// Receives heartbeats for the leader and forwards only what changed. The
+/// intake grants and orders nothing: each answer comes from the leader and
+/// answers exactly the call that the leader read, so that a slow, frozen or
+/// disconnected box can only cause delay. Does no I/O: messages and time are
+/// passed in and out. Not thread-safe.
+class heartbeat_intake {
  public:
   using respond_function = std::function<void(fleet::fleet_response)>;
 
-  beat_intake(intake_settings settings, clock_source& clock,
-              metrics_registry& metrics)
+  heartbeat_intake(intake_settings settings, clock_source& clock,
+                   metrics_registry& metrics)
       : settings_(settings), clock_(clock), metrics_(metrics) {}
 
-  /// A worker's call; answered once, by the leader or by `expire`. One that
-  /// fits the call before it not at all is refused here, told in the log and
-  /// counted under the name that the leader's have.
+  /// Accepts a worker's call, which is answered once, by the leader or by
+  /// `expire`. A call that is inconsistent with the previous one is refused,
+  /// logged and counted in the same metric as on the leader.
   void take(fleet::worker_beat beat, respond_function respond);
-  /// True when calls wait to be passed on, and the leader may get them.
-  bool has_news() const { return news_ > 0 && out_ < window_; }
-  /// The calls that were not passed on yet, for a leader of that name; one
-  /// that was not told of a worker before is told all of it. No more than the
-  /// leader can answer in time, first of those that leave, then of those that
-  /// have had none passed on for longest, so that each has its turn: calls that
-  /// waited unread at the leader were answered too late, each of them, and
-  /// leases lapsed.
+  /// True when calls wait to be forwarded and the window has space.
+  bool has_pending_calls() const {
+    return waiting_ > 0 && forwarded_ < window_;
+  }
+  /// Returns the calls to forward to `leader`. A leader that does not know a
+  /// worker gets the whole heartbeat, else the difference. The batch holds no
+  /// more calls than the leader can answer in time: otherwise all calls queue
+  /// at the leader, every answer is late and leases expire. Draining workers
+  /// come first, then those that have waited longest, so that each has a turn.
   fleet::beat_batch collect(const std::string& leader);
-  /// What the leader answered; answers to earlier calls are dropped.
-  void answered(const fleet::beat_answers& answers);
-  /// Calls that wait are passed on anew: the last leader may never answer.
+  /// Forwards the leader's answers; answers to earlier calls are dropped.
+  void handle_answers(const fleet::beat_answers& answers);
+  /// Forwards pending calls again: the previous leader may never answer.
   void leader_changed();
-  /// Gives up on calls that waited too long, and forgets workers that call
-  /// elsewhere. To be called every 100 ms or so.
+  /// Fails calls that waited too long, and forgets workers that call another
+  /// box. Call about every 100 ms.
   void expire();
-  /// Calls that wait for an answer.
+  /// Number of calls that wait for an answer.
   size_t waiting() const;
-  /// How long calls and answers were on their way to and from the leader of
-  /// late, without the time that it had them; none where none went.
-  std::optional<milliseconds> way() const;
-  /// The shortest that another box tells of its way.
-  void know_way_elsewhere(std::optional<milliseconds> it) { elsewhere_ = it; }
+  /// Recent round-trip time to the leader, without the time that the leader
+  /// held the call; none without recent answers.
+  std::optional<milliseconds> leader_rtt() const;
+  /// Sets the lowest round-trip time to the leader that another box reports.
+  void set_best_peer_rtt(std::optional<milliseconds> rtt) {
+    best_peer_rtt_ = rtt;
+  }
 
  private:
   using row_map = std::map<run_key, fleet::running_row>;
-  /// Where a worker's call is: answered, here, with the leader, or held there
-  /// for work that may come.
-  enum class call_state { none, waits, out, held };
-  struct caller {
-    // The call that is out, and whom to answer.
+  /// State of a worker's call: none pending, waiting on this box, forwarded to
+  /// the leader, or held by the leader until a task may become ready.
+  enum class call_state { none, waiting, forwarded, held };
+  /// Pending call of a worker, and the part of its state that the leader knows.
+  struct worker_state {
+    // The pending call and its response function.
     fleet::worker_beat beat;
     respond_function respond;
-    time_point called{};
+    time_point called_at{};
     call_state state = call_state::none;
-    time_point passed_at{};
-    // Since when it calls and no call of it was passed on.
-    time_point waits_since{};
-    // Who was told what, by the call with the sequence `told_sequence`.
-    std::string told_to;
-    uint64_t told_sequence = 0;
-    worker_room told_room;
-    row_map told;
-    time_point readings_told{};
-    time_point checkpoints_told{};
+    time_point forwarded_at{};
+    // Since when the worker has called and no call was forwarded.
+    time_point waiting_since{};
+    // The state that the leader `known_to` has, by the forwarded call with the
+    // sequence `forwarded_sequence`.
+    std::string known_to;
+    uint64_t forwarded_sequence = 0;
+    worker_capacity forwarded_capacity;
+    row_map forwarded_rows;
+    time_point readings_forwarded_at{};
+    time_point checkpoints_forwarded_at{};
   };
 
   void refuse(const fleet::worker_beat& beat, const respond_function& respond);
-  std::vector<caller*> next_callers();
-  void note_answer(const caller& it);
-  void note_way(const caller& it, const fleet::beat_answer& answer);
-  void narrow();
+  std::vector<worker_state*> next_to_forward();
+  void record_answer_time(const worker_state& it);
+  void record_rtt(const worker_state& it, const fleet::beat_answer& answer);
+  void shrink_window();
   bool is_out_of_reach() const;
-  void put_off(caller& it);
-  void give_up(caller& it, const char* reason);
-  bool window_full() const { return out_ >= window_; }
-  void set_state(caller& it, call_state state);
-  static bool is_told(const caller& it, const std::string& leader);
-  static fleet::worker_beat make_whole(caller& it);
-  fleet::worker_beat make_difference(caller& it) const;
+  void put_off(worker_state& it);
+  void fail(worker_state& it, const char* reason);
+  bool window_full() const { return forwarded_ >= window_; }
+  void set_state(worker_state& it, call_state state);
+  static bool knows_worker(const worker_state& it, const std::string& leader);
+  static fleet::worker_beat make_whole(worker_state& it);
+  fleet::worker_beat make_difference(worker_state& it) const;
 
   intake_settings settings_;
   clock_source& clock_;
   metrics_registry& metrics_;
-  // By life: what was told of an earlier one is no base for the next.
-  std::map<std::string, caller> callers_;
-  size_t news_ = 0;
-  // Calls that the leader has, and how many it may have.
-  size_t out_ = 0;
-  size_t window_ = settings_.first_window;
-  time_point narrowed_at_{};
-  // Answers since then, by whether they came in time.
-  size_t slow_ = 0;
-  size_t quick_ = 0;
-  // A moving average of the way, and when something was last seen of it.
-  milliseconds way_{0};
-  time_point way_seen_{};
-  std::optional<milliseconds> elsewhere_;
-  // Calls were passed on since the last answer, the first one then.
+  // By incarnation, as a difference must not refer to an earlier incarnation.
+  std::map<std::string, worker_state> workers_;
+  // Calls that wait to be forwarded.
+  size_t waiting_ = 0;
+  // Calls that the leader has, and their maximum number.
+  size_t forwarded_ = 0;
+  size_t window_ = settings_.initial_window;
+  time_point shrunk_at_{};
+  // Slow and timely answers since `shrunk_at_`.
+  size_t slow_answers_ = 0;
+  size_t timely_answers_ = 0;
+  // Moving average of the round-trip time, and when it was last updated.
+  milliseconds rtt_{0};
+  time_point rtt_updated_at_{};
+  std::optional<milliseconds> best_peer_rtt_;
+  // Calls were forwarded since the last answer, the first one at
+  // `unanswered_since_`.
   bool unanswered_ = false;
   time_point unanswered_since_{};
-  // The longest that a worker was put off, since that was told last.
+  // Longest time that a worker was put off since the last log line.
   milliseconds longest_put_off_{0};
 };
 
--- a/fleet/beat-order.cc
+++ b/fleet/beat-order.cc
@@ -3,11 +3,11 @@
 namespace kestrelreel {
 namespace detail {
 
-/// A heartbeat may come seconds late, by the users' protocol; eight of the
-/// longest leases.
-constexpr milliseconds longest_way{60'000};
+/// Maximum transit time of a heartbeat: the platform's protocol allows delays
+/// of seconds. Eight times the longest lease.
+constexpr milliseconds max_transit_time{60'000};
 
-/// A difference tells no place.
+/// A difference carries neither pool nor address.
 bool same_place(const fleet::worker_beat& last,
                 const fleet::worker_beat& next) {
   return next.base() != 0 ||
@@ -16,21 +16,24 @@
 
 }  // namespace detail
 
-beat_order order_of(const fleet::worker_beat& last, time_point taken_in,
-                    const fleet::worker_beat& next, time_point now) {
-  if (!detail::same_place(last, next)) return beat_order::misfit;
+heartbeat_order compare_heartbeats(const fleet::worker_beat& last,
+                                   time_point received_at,
+                                   const fleet::worker_beat& next,
+                                   time_point now) {
+  if (!detail::same_place(last, next)) return heartbeat_order::inconsistent;
   const bool higher = next.sequence() > last.sequence();
   if (last.clock_ms() == 0 || next.clock_ms() == 0) {
-    return higher ? beat_order::later : beat_order::overtaken;
+    return higher ? heartbeat_order::later : heartbeat_order::overtaken;
   }
   const milliseconds ahead(
       static_cast<int64_t>(next.clock_ms() - last.clock_ms()));
-  const milliseconds most = now - taken_in + detail::longest_way;
-  if (ahead > most) return beat_order::misfit;
-  if (ahead > milliseconds(0)) return beat_order::later;
-  if (!higher) return beat_order::overtaken;
-  // Two calls within one millisecond show the same time.
-  return ahead == milliseconds(0) ? beat_order::later : beat_order::misfit;
+  const milliseconds max_ahead = now - received_at + detail::max_transit_time;
+  if (ahead > max_ahead) return heartbeat_order::inconsistent;
+  if (ahead > milliseconds(0)) return heartbeat_order::later;
+  if (!higher) return heartbeat_order::overtaken;
+  // Two calls within one millisecond have the same clock value.
+  return ahead == milliseconds(0) ? heartbeat_order::later
+                                  : heartbeat_order::inconsistent;
 }
 
 }  // namespace kestrelreel
--- a/fleet/beat-order.h
+++ b/fleet/beat-order.h
@@ -1,4 +1,4 @@
-// Which of two heartbeats of one life was sent later.
+// Orders two heartbeats of one worker incarnation by the time of sending.
 #pragma once
 
 #include "base/clock.h"
@@ -6,21 +6,24 @@
 
 namespace kestrelreel {
 
-/// A heartbeat beside the last one that was taken in.
-enum class beat_order {
-  /// It was sent later.
+/// Order of a heartbeat relative to the last one received.
+enum class heartbeat_order {
+  /// The heartbeat was sent later.
   later,
-  /// It was sent before, or is the same one again.
+  /// The heartbeat was sent earlier, or is a duplicate.
   overtaken,
-  /// The two can't both be of one worker: this one is to change nothing.
-  misfit
+  /// The two can't both be of one worker: the heartbeat is rejected.
+  inconsistent
 };
 
-/// The sequence and the worker's steady clock both rise with every call, and
-/// its pool and address stay. Where sequence and clock disagree, another writer
-/// sent one of the two: it is this one where its clock lies behind or further
-/// ahead than time has passed since `last` was taken in, else it is the other.
-beat_order order_of(const fleet::worker_beat& last, time_point taken_in,
-                    const fleet::worker_beat& next, time_point now);
+/// Sequence and steady clock of a worker both increase with every call, and its
+/// pool and address are constant. Where sequence and clock disagree, another
+/// sender wrote one of the two heartbeats: `next`, if its clock is behind that
+/// of `last`, or ahead by more than the time since `last` was received; else
+/// `last`.
+heartbeat_order compare_heartbeats(const fleet::worker_beat& last,
+                                   time_point received_at,
+                                   const fleet::worker_beat& next,
+                                   time_point now);
 
 }  // namespace kestrelreel
--- a/fleet/busy-leader-test-parts.h
+++ b/fleet/busy-leader-test-parts.h
@@ -185,7 +185,7 @@
 
 inline controller_settings make_settings() {
   controller_settings settings = test_world::make_settings();
-  settings.leases.hold = longest_hold;
+  settings.leases.duration = max_lease_duration;
   settings.direct_workers = 0;
   return settings;
 }
@@ -197,7 +197,7 @@
 struct intake_box {
   intake_box(clock_source& clock, metrics_registry& metrics)
       : intake({}, clock, metrics) {}
-  beat_intake intake;
+  heartbeat_intake intake;
   std::deque<sent_batch> sent;
   std::deque<slow::passed_answer> replies;
   // How long the leader's answers to this box, and its calls, are on their way.
--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -151,11 +151,11 @@
     for (auto& box : boxes_) {
       std::optional<milliseconds> shortest;
       for (auto& other : boxes_) {
-        const auto way = other->intake.way();
+        const auto way = other->intake.leader_rtt();
         if (&other == &box || !way) continue;
         shortest = shortest ? std::min(*shortest, *way) : *way;
       }
-      box->intake.know_way_elsewhere(shortest);
+      box->intake.set_best_peer_rtt(shortest);
     }
   }
 
@@ -165,11 +165,11 @@
       fleet::beat_answers one;
       *one.add_answers() = std::move(box.replies.front().answer);
       box.replies.pop_front();
-      box.intake.answered(one);
+      box.intake.handle_answers(one);
     }
     if (clock_.now() % tick_interval == milliseconds(0)) box.intake.expire();
     if (clock_.now() % pass_on_interval != milliseconds(0)) return;
-    if (box.intake.has_news()) {
+    if (box.intake.has_pending_calls()) {
       box.sent.push_back(
           {clock_.now(), box.intake.collect("leader" + std::to_string(term_))});
     }
@@ -379,7 +379,8 @@
     }
     fail(ends_.start(run.task));
     if (done_.contains(run.task)) ++out_.started_again;
-    if (it.runs.size() >= slow::worker_room) fail(it.id + " is over its room");
+    if (it.runs.size() >= slow::worker_capacity)
+      fail(it.id + " is over its room");
     const time_point now = clock_.now();
     waits_.begun(run, now, out_);
     it.runs[run] = is_endless(run.task) ? time_point::max() : now + short_work;
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -99,13 +99,13 @@
     last_ = fleet::fleet_response();
     intake_.take(beat,
                  [this](fleet::fleet_response it) { last_ = std::move(it); });
-    while (intake_.has_news()) {
+    while (intake_.has_pending_calls()) {
       answers_.clear_answers();
       leader().take_beats(
           intake_.collect(std::to_string(leads_)),
           [this](const auto& it) { *answers_.add_answers() = it; });
       commit();
-      intake_.answered(answers_);
+      intake_.handle_answers(answers_);
     }
     return last_;
   }
@@ -118,7 +118,7 @@
   std::vector<std::unique_ptr<fleet_controller>> controllers_;
   size_t leads_ = 0;
   uint64_t term_ = 0;
-  beat_intake intake_{{}, clock, metrics_};
+  heartbeat_intake intake_{{}, clock, metrics_};
   fleet::beat_answers answers_;
   fleet::fleet_response last_;
 };
--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -31,20 +31,21 @@
 bool fleet_controller::shows_crash(const worker_view& it, loss_cause cause) {
   const bool lives_on =
       cause == loss_cause::replaced || cause == loss_cause::restarted;
-  return lives_on && !it.leaves && !it.beat.draining();
+  return lives_on && !it.is_leaving && !it.beat.draining();
 }
 
 bool fleet_controller::crashed_with_others(const worker_view& it) const {
   const time_point now = clock_.now();
   const auto near = [&](time_point told) {
-    return detail::is_near(told, it.told);
+    return detail::is_near(told, it.last_heartbeat_at);
   };
   if (std::any_of(crash_times_.begin(), crash_times_.end(), near)) return true;
   const auto& views = workers_.views();
   return std::any_of(views.begin(), views.end(), [&](const auto& entry) {
     const worker_view& o = entry.second;
-    return o.id != it.id && o.known && near(o.told) &&
-           now - std::max(o.told, o.call_due) >= detail::maybe_crashed;
+    return o.id != it.id && o.has_heartbeat && near(o.last_heartbeat_at) &&
+           now - std::max(o.last_heartbeat_at, o.call_due) >=
+               detail::maybe_crashed;
   });
 }
 
@@ -65,12 +66,12 @@
     lost.set_crash_evidence(found->second.evidence);
     lost.set_survived(found->second.survived);
   }
-  if (it.known) crash_times_.push_back(it.told);
+  if (it.has_heartbeat) crash_times_.push_back(it.last_heartbeat_at);
   if (crash_times_.size() > detail::most_crash_times) crash_times_.pop_front();
   ++metrics_.counter("kestrelreel_worker_crashes_total");
   log_event(detail::service_name, log_level::warn, "worker-crashed")
       .with("worker", it.id.str())
-      .with("known", it.known ? "yes" : "no")
+      .with("known", it.has_heartbeat ? "yes" : "no")
       .with("others-too", others ? "yes" : "no")
       .with("runs", runs.size())
       .with("suspects", to_text(suspects))
@@ -86,7 +87,7 @@
     return fleet::run_harmless;
   }
   if (it.rows.contains(run)) return fleet::run_listed;
-  if (it.sent.contains(run)) return fleet::run_ordered;
+  if (it.starts_sent_at.contains(run)) return fleet::run_ordered;
   return std::nullopt;
 }
 
@@ -104,7 +105,7 @@
   for (const run_key& run : starts_for(it)) {
     if (order_is_recorded(run)) continue;
     recorded = false;
-    record_progress({book_.record_key(run.task), run.run}, it.id,
+    record_progress({book_.crash_record_key(run.task), run.run}, it.id,
                     fleet::run_ordered);
   }
   return recorded;
@@ -112,7 +113,7 @@
 
 void fleet_controller::record_all_orders() {
   if (book_.suspects().empty()) return;
-  workers_.marks().calling.review([this](worker_view& it) {
+  workers_.groups().calling.retain_if([this](worker_view& it) {
     if (it.respond) record_orders(it);
     return true;
   });
@@ -152,7 +153,7 @@
 }
 
 void fleet_controller::note_given_up(const job_book::result& result) {
-  for (const job_book::given_up& it : result.crashing) {
+  for (const job_book::failed_by_crashes& it : result.crashing) {
     ++metrics_.counter("kestrelreel_tasks_given_up_total");
     log_event(detail::service_name, log_level::warn, "task-given-up")
         .with("task", to_text(it.task))
--- a/fleet/controller-evacuations.cc
+++ b/fleet/controller-evacuations.cc
@@ -54,7 +54,7 @@
 /// False for a worker to which no start is sent, on whatever road it came: runs
 /// that were recorded for it and that it does not list are given up on.
 bool fleet_controller::takes_starts(const worker_view& it) const {
-  return !it.leaves && !it.beat.draining() &&
+  return !it.is_leaving && !it.beat.draining() &&
          !book_.evacuated().holds(it.beat.data_centre());
 }
 
--- a/fleet/controller-lag.cc
+++ b/fleet/controller-lag.cc
@@ -46,7 +46,7 @@
   for (const auto& [id, it] : workers_.views()) {
     for (const run_key& run : book_.runs_on(id)) {
       if (it.rows.contains(run) || lists_end(it, run)) continue;
-      const bool sent = it.sent.contains(run);
+      const bool sent = it.starts_sent_at.contains(run);
       ++(sent ? out.unlisted : out.unsent);
       if (!sent && is_lasting(run)) ++out.unsent_lasting;
     }
--- a/fleet/controller-late-ends.cc
+++ b/fleet/controller-late-ends.cc
@@ -16,8 +16,8 @@
 /// An end is true whether or not its worker's life goes on, and a worker that
 /// is gone lists it no more. It is not acknowledged by this.
 void fleet_controller::take_ends_of_unsure(const fleet::worker_beat& beat) {
-  worker_view* it = workers_.find(life_of(beat));
-  if (it == nullptr || it->over || losing_.contains(it->id)) return;
+  worker_view* it = workers_.find(incarnation_of(beat));
+  if (it == nullptr || it->loss_proposed || losing_.contains(it->id)) return;
   if (book_.runs_on(it->id).empty()) return;
   take_ends(*it, beat.ended(), false);
 }
@@ -46,7 +46,7 @@
 /// Takes back a start that was sent in no answer.
 void fleet_controller::recall(const run_key& run, const worker_id& worker) {
   worker_view* it = workers_.find(worker);
-  if (it == nullptr || it->unsent.erase(run) == 0) return;
+  if (it == nullptr || it->unsent_starts.erase(run) == 0) return;
   log_event(detail::service_name, log_level::info, "start-recalled")
       .with("task", to_text(run.task))
       .with("run", run.run.value())
--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -17,7 +17,7 @@
 
 TEST(controller_leases, silent_worker_keeps_its_task_until_its_lease_is_over) {
   run_one();
-  const milliseconds over = world.controller.workers().leases().over_after();
+  const milliseconds over = world.controller.workers().leases().expiry_delay();
   world.beat("b");
   for (milliseconds at{0}; at < over - milliseconds(300);
        at += milliseconds(100)) {
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -27,13 +27,14 @@
 /// What shows that another writer sent the heartbeat; null where nothing does.
 /// A worker whose pool went out of the configuration runs what it runs.
 const char* fleet_controller::fault_of(const fleet::worker_beat& beat) {
-  const std::vector<worker_view*>& lives = workers_.lives_of(beat.worker());
-  const bool told =
-      !lives.empty() && lives.back()->known && born_of(lives.back()->id) > 0;
+  const std::vector<worker_view*>& lives =
+      workers_.incarnations_of(beat.worker());
+  const bool told = !lives.empty() && lives.back()->has_heartbeat &&
+                    start_time_of(lives.back()->id) > 0;
   if (told && beat.born() == 0) return "no birth";
   if (beat.base() != 0 || names_pool(beat)) return nullptr;
-  const worker_view* it = workers_.find(life_of(beat));
-  const bool known = it != nullptr && it->known;
+  const worker_view* it = workers_.find(incarnation_of(beat));
+  const bool known = it != nullptr && it->has_heartbeat;
   return known && it->beat.pool() == beat.pool() ? nullptr : "unknown pool";
 }
 
@@ -43,7 +44,7 @@
   ++metrics_.counter("kestrelreel_heartbeats_unusable_total",
                      {{"cause", fault}});
   log_event(detail::service_name, log_level::warn, "heartbeat-unusable")
-      .with("worker", life_of(beat).str())
+      .with("worker", incarnation_of(beat).str())
       .with("address", beat.address())
       .with("pool", beat.pool())
       .with("sequence", beat.sequence())
@@ -68,7 +69,7 @@
       .with("taken", it.beat.sequence())
       .with("clock-behind-ms", behind)
       .with("ends", beat.ended_size())
-      .with("told-ms-ago", (clock_.now() - it.told).count());
+      .with("told-ms-ago", (clock_.now() - it.last_heartbeat_at).count());
 }
 
 /// The life that a leave is of. One that tells no birth is of the life that
@@ -77,12 +78,12 @@
 /// None where no life that is not over is meant.
 std::optional<worker_id> fleet_controller::leaver_of(const std::string& name,
                                                      uint64_t born) {
-  if (born > 0) return life_of(name, born);
-  const std::vector<worker_view*>& lives = workers_.lives_of(name);
-  const bool earlier = workers_.has_earlier_life(name);
+  if (born > 0) return incarnation_of(name, born);
+  const std::vector<worker_view*>& lives = workers_.incarnations_of(name);
+  const bool earlier = workers_.has_earlier_incarnation(name);
   if (lives.empty() && !earlier) return worker_id(name);
   const auto drains = [](const worker_view* it) {
-    return it->beat.draining() || it->left_at.has_value();
+    return it->beat.draining() || it->leave_recorded_at.has_value();
   };
   const auto last = std::find_if(lives.rbegin(), lives.rend(), drains);
   if (last != lives.rend()) return (*last)->id;
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -57,7 +57,7 @@
   if (!it.beat.draining()) return false;
   const milliseconds left =
       milliseconds(static_cast<int64_t>(it.beat.remaining_ms())) - it.delay -
-      (clock_.now() - it.told);
+      (clock_.now() - it.last_heartbeat_at);
   return left <=
          settings_.worker_stop + 2 * next_beat(it) + settings_.answer_wait;
 }
@@ -79,7 +79,7 @@
       .with("worker", it.id.str())
       .with("runs", n)
       .with("remaining-ms", it.beat.remaining_ms())
-      .with("told-ms-ago", (clock_.now() - it.told).count());
+      .with("told-ms-ago", (clock_.now() - it.last_heartbeat_at).count());
 }
 
 bool fleet_controller::answer_is_due(const worker_view& it,
@@ -88,14 +88,14 @@
   const milliseconds wait = it.was_held
                                 ? settings_.call_hold + detail::held_extra
                                 : settings_.answer_wait;
-  if (clock_.now() - it.asked >= wait) return true;
-  return recorded && it.proposed.empty() &&
-         it.end_proposed <= book_.last_end(it.id);
+  if (clock_.now() - it.call_received_at >= wait) return true;
+  return recorded && it.proposed_starts.empty() &&
+         it.last_end_proposed <= book_.last_end(it.id);
 }
 
 /// A worker that has turned elsewhere would be granted and ordered nothing.
 bool fleet_controller::give_up_late(worker_view& it) {
-  const milliseconds age = clock_.now() - it.asked + it.delay;
+  const milliseconds age = clock_.now() - it.call_received_at + it.delay;
   if (age < workers_.leases().answer_limit) return false;
   ++metrics_.counter("kestrelreel_answers_late_total");
   std::exchange(it.respond, nullptr)(make_response(fleet::fleet_ok, "late"));
@@ -116,11 +116,11 @@
 /// each answer comes when its worker has turned elsewhere.
 std::vector<worker_view*> fleet_controller::due_answers() {
   std::vector<worker_view*> due;
-  for (worker_view* it : workers_.marks().held_calls.due_by(clock_.now())) {
-    workers_.marks().held_calls.remove(*it);
-    workers_.marks().calling.add(*it);
+  for (worker_view* it : workers_.groups().held_calls.due_by(clock_.now())) {
+    workers_.groups().held_calls.remove(*it);
+    workers_.groups().calling.add(*it);
   }
-  workers_.marks().calling.review([&](worker_view& it) {
+  workers_.groups().calling.retain_if([&](worker_view& it) {
     if (!it.respond || give_up_late(it)) return false;
     const bool recorded = record_orders(it);
     if (answer_is_due(it, recorded)) due.push_back(&it);
@@ -133,9 +133,9 @@
   std::vector<std::tuple<time_point, uint64_t, worker_view*>> turns;
   turns.reserve(due.size());
   for (worker_view* it : due) {
-    const bool ordered = !it->unsent.empty() || it->awaits_start;
+    const bool ordered = !it->unsent_starts.empty() || it->awaits_start;
     const milliseconds lead = ordered ? detail::order_lead : milliseconds(0);
-    turns.emplace_back(it->over_at - lead, it->ordinal, it);
+    turns.emplace_back(it->lease_expires_at - lead, it->ordinal, it);
   }
   std::nth_element(turns.begin(),
                    turns.begin() + static_cast<std::ptrdiff_t>(most),
@@ -173,7 +173,8 @@
 }
 
 bool fleet_controller::is_idle(const worker_view& it) const {
-  return it.rows.empty() && it.proposed.empty() && book_.runs_on(it.id).empty();
+  return it.rows.empty() && it.proposed_starts.empty() &&
+         book_.runs_on(it.id).empty();
 }
 
 milliseconds fleet_controller::next_beat(const worker_view& it) const {
@@ -188,7 +189,7 @@
     }
   }
   const milliseconds most =
-      workers_.leases().hold / detail::least_calls_a_lease;
+      workers_.leases().duration / detail::least_calls_a_lease;
   // Calls with ends come at once all the same: what is put off says nothing.
   return std::min(lag_.stretched(pause), std::max(wished, most));
 }
@@ -197,19 +198,19 @@
 /// the worker's next one; false where it is to be answered now. What is told of
 /// a worker's end or of its runs is never held up.
 bool fleet_controller::hold_call(worker_view& it) {
-  const bool first = it.over_at == time_point{};
-  it.was_held = holds_calls() && !first && is_idle(it) && !it.leaves &&
+  const bool first = it.lease_expires_at == time_point{};
+  it.was_held = holds_calls() && !first && is_idle(it) && !it.is_leaving &&
                 !it.beat.draining() && it.beat.ended_size() == 0 &&
                 it.delay < settings_.call_hold;
   if (!it.was_held) return false;
-  workers_.marks().held_calls.set(it,
-                                  it.asked + settings_.call_hold - it.delay);
+  workers_.groups().held_calls.set(
+      it, it.call_received_at + settings_.call_hold - it.delay);
   return true;
 }
 
 fleet::worker_orders fleet_controller::orders_for(worker_view& it) {
   fleet::worker_orders orders;
-  const auto hold = workers_.leases().hold.count();
+  const auto hold = workers_.leases().duration.count();
   orders.set_hold_ms(static_cast<uint64_t>(hold));
   orders.set_last_end(book_.last_end(it.id));
   orders.set_fence(log_.term().value());
@@ -227,14 +228,14 @@
 /// at most some hundred a second, where starts are a thousand.
 void fleet_controller::log_orders(worker_view& it,
                                   const fleet::worker_orders& orders) const {
-  if (it.end_told != orders.last_end()) {
-    it.end_told = orders.last_end();
+  if (it.last_end_acknowledged != orders.last_end()) {
+    it.last_end_acknowledged = orders.last_end();
     log_event(detail::service_name,
               is_near_end(it) ? log_level::info : log_level::debug,
               "ends-acknowledged")
         .with("worker", it.id.str())
         .with("sequence", it.beat.sequence())
-        .with("last", it.end_told);
+        .with("last", it.last_end_acknowledged);
   }
   if (orders.starts_size() == 0) return;
   log_event(detail::service_name, log_level::info, "starts-sent")
@@ -247,8 +248,8 @@
 /// True where the runs in the book ask for more than there is, as the worker's
 /// room has shrunk since they were placed.
 bool fleet_controller::is_overfull(worker_view& it) {
-  if (std::exchange(it.load_is_old, false)) it.load = scheduler_.load_of(it);
-  return !it.load.fits_in(room_of(it.beat));
+  if (std::exchange(it.load_is_stale, false)) it.load = scheduler_.load_of(it);
+  return !it.load.fits_in(capacity_of(it.beat));
 }
 
 bool fleet_controller::guards_capacity(const std::string& pool) const {
@@ -266,7 +267,7 @@
   const bool any = std::any_of(it.rows.begin(), it.rows.end(), [&](auto& row) {
     return !runs.contains(row.first);
   });
-  if (any || it.lists_unrecorded) it.load_is_old = true;
+  if (any || it.lists_unrecorded) it.load_is_stale = true;
   it.lists_unrecorded = any;
 }
 
@@ -298,8 +299,8 @@
     start.set_run(static_cast<uint32_t>(run.run.value()));
     start.set_text(book_.find(run.task.job)->spec.text());
     start.set_saved(task.saved);
-    it.sent[run] = clock_.now();
-    it.unsent.erase(run);
+    it.starts_sent_at[run] = clock_.now();
+    it.unsent_starts.erase(run);
     in_vain_.erase(run.task);
     it.awaits_start = true;
   }
@@ -330,20 +331,21 @@
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
     if (step == nullptr || !step->fills()) continue;
-    const auto told = it.paces.find(run);
+    const auto told = it.sent_paces.find(run);
     const auto wanted = it.pace.find(run);
     if (wanted == it.pace.end()) continue;
-    if (told == it.paces.end() && wanted->second == full_pace) continue;
-    if (told != it.paces.end() && told->second == wanted->second) continue;
-    it.paces[run] = wanted->second;
+    if (told == it.sent_paces.end() && wanted->second == full_pace_percent)
+      continue;
+    if (told != it.sent_paces.end() && told->second == wanted->second) continue;
+    it.sent_paces[run] = wanted->second;
     fleet::pace_order& pace = *orders.add_paces();
     *pace.mutable_task() = to_ref(run.task);
     pace.set_run(static_cast<uint32_t>(run.run.value()));
     pace.set_percent(wanted->second);
   }
-  std::erase_if(it.paces,
+  std::erase_if(it.sent_paces,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
-  std::erase_if(it.sent, [&](const auto& p) {
+  std::erase_if(it.starts_sent_at, [&](const auto& p) {
     return !book_.runs_on(it.id).contains(p.first);
   });
 }
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -46,12 +46,15 @@
 /// other fell silent.
 bool outlives(const worker_view& o, const worker_view& it,
               milliseconds patience) {
-  const milliseconds least = sure_life + patience;
+  const milliseconds least = incarnation_proof_time + patience;
   const milliseconds own_clock(
       static_cast<int64_t>(o.beat.clock_ms() - o.first_clock_ms));
-  return o.answered && o.id != it.id && o.told > it.told &&
-         o.first_told > it.first_told &&
-         o.told - std::max(o.first_told, it.told) >= least &&
+  return o.got_answer && o.id != it.id &&
+         o.last_heartbeat_at > it.last_heartbeat_at &&
+         o.first_heartbeat_at > it.first_heartbeat_at &&
+         o.last_heartbeat_at -
+                 std::max(o.first_heartbeat_at, it.last_heartbeat_at) >=
+             least &&
          own_clock >= least;
 }
 
@@ -60,7 +63,7 @@
                                  const worker_view& it, milliseconds patience) {
   const auto found =
       std::find_if(all.begin(), all.end(), [&](const worker_view* other) {
-        return !other->over && outlives(*other, it, patience);
+        return !other->loss_proposed && outlives(*other, it, patience);
       });
   return found == all.end() ? nullptr : *found;
 }
@@ -107,7 +110,7 @@
   loss.set_over(cause == loss_cause::replaced ||
                 cause == loss_cause::restarted || cause == loss_cause::left);
   loss.set_silent(cause == loss_cause::lease && !it.lapsed.empty());
-  it.over = loss.over();
+  it.loss_proposed = loss.over();
   std::set<run_key> all(runs.begin(), runs.end());
   const bool crashed = shows_crash(it, cause);
   if (crashed) all.insert(it.lapsed.begin(), it.lapsed.end());
@@ -125,8 +128,9 @@
   line.with("worker", it.id.str())
       .with("runs", runs.size())
       .with("cause", name_of(cause))
-      .with("known", it.known ? "yes" : "no");
-  if (it.known) line.with("silent-ms", (clock_.now() - it.told).count());
+      .with("known", it.has_heartbeat ? "yes" : "no");
+  if (it.has_heartbeat)
+    line.with("silent-ms", (clock_.now() - it.last_heartbeat_at).count());
   // These may be why the worker fell silent.
   const std::vector<run_key> unlisted = unlisted_of(it, runs);
   line.with("unlisted", to_text(unlisted))
@@ -139,7 +143,7 @@
   std::vector<run_key> out;
   for (const run_key& run : runs) {
     const bool listed = it.rows.contains(run) || lists_end(it, run);
-    if (it.sent.contains(run) && !listed) out.push_back(run);
+    if (it.starts_sent_at.contains(run) && !listed) out.push_back(run);
   }
   return out;
 }
@@ -192,12 +196,13 @@
   const time_point now = clock_.now();
   log_event(detail::service_name, log_level::info, "life-outlived")
       .with("worker", it.id.str())
-      .with("known", it.known ? "yes" : "no")
-      .with("silent-ms", (now - it.told).count())
+      .with("known", it.has_heartbeat ? "yes" : "no")
+      .with("silent-ms", (now - it.last_heartbeat_at).count())
       .with("by", next.id.str())
-      .with("heard-for-ms", (next.told - next.first_told).count())
+      .with("heard-for-ms",
+            (next.last_heartbeat_at - next.first_heartbeat_at).count())
       .with("own-ms", next.beat.clock_ms() - next.first_clock_ms)
-      .with("last-heard-ms", (now - next.told).count());
+      .with("last-heard-ms", (now - next.last_heartbeat_at).count());
 }
 
 /// A worker lives once: what ran in a life that another one outlives is over,
@@ -207,7 +212,7 @@
 /// life whose runs go on.
 void fleet_controller::review_restarts() {
   for (const std::string& name : workers_.shared_names()) {
-    const std::vector<worker_view*>& lives = workers_.lives_of(name);
+    const std::vector<worker_view*>& lives = workers_.incarnations_of(name);
     for (worker_view* it : lives) {
       if (losing_.contains(it->id)) continue;
       const worker_view* next = detail::find_survivor(lives, *it, patience());
@@ -223,22 +228,23 @@
 /// begun another life.
 void fleet_controller::review_silence() {
   const time_point now = clock_.now();
-  worker_queue& watched = workers_.marks().watched;
+  worker_queue& watched = workers_.groups().watched;
   for (worker_view* due : watched.due_by(now)) {
     worker_view& it = *due;
     const auto& alive = book_.runs_on(it.id);
-    const bool spoke = now - it.told < detail::dead_after;
+    const bool spoke = now - it.last_heartbeat_at < detail::dead_after;
     // Of one that runs nothing nothing is missed.
     const time_point soon = alive.empty() ? now + detail::idle_review : now;
-    watched.set(it, spoke ? it.told + detail::dead_after : soon);
-    if (spoke || it.left_at || losing_.contains(it.id)) continue;
-    const bool over = now >= it.over_at + patience();
+    watched.set(it, spoke ? it.last_heartbeat_at + detail::dead_after : soon);
+    if (spoke || it.leave_recorded_at || losing_.contains(it.id)) continue;
+    const bool over = now >= it.lease_expires_at + patience();
     loss_cause cause = loss_cause::lease;
-    if (now >= it.over_at + detail::forget_worker_after) {
+    if (now >= it.lease_expires_at + detail::forget_worker_after) {
       cause = loss_cause::silent;
     }
     // One that this leader never heard may be about to call.
-    const bool silent = it.known || now - led_since_ >= detail::dead_after;
+    const bool silent =
+        it.has_heartbeat || now - led_since_ >= detail::dead_after;
     if (silent) {
       const worker_view* next =
           detail::find_replacement(workers_, it, patience());
@@ -263,8 +269,8 @@
 void fleet_controller::review_leaves() {
   const lease_settings& leases = workers_.leases();
   const milliseconds wait = leases.answer_limit + leases.slack + patience();
-  workers_.marks().left.review([&](worker_view& it) {
-    if (!it.left_at) return false;
+  workers_.groups().left.retain_if([&](worker_view& it) {
+    if (!it.leave_recorded_at) return false;
     if (losing_.contains(it.id)) return true;
     std::vector<run_key> lasting;
     for (const run_key& run : book_.runs_on(it.id)) {
@@ -274,7 +280,9 @@
       propose_loss(it, lasting, loss_cause::left_serving);
       return true;
     }
-    if (clock_.now() - std::max(*it.left_at, it.told) < wait) return true;
+    if (clock_.now() - std::max(*it.leave_recorded_at, it.last_heartbeat_at) <
+        wait)
+      return true;
     const auto& alive = book_.runs_on(it.id);
     propose_loss(it, {alive.begin(), alive.end()}, loss_cause::left);
     return true;
@@ -286,7 +294,7 @@
 /// gets may be from before it led: until the worker is known to get its
 /// answers, how old they are is not known.
 void fleet_controller::review_unstarted(worker_view& it) {
-  if (!it.answered || losing_.contains(it.id)) return;
+  if (!it.got_answer || losing_.contains(it.id)) return;
   const milliseconds sure =
       workers_.leases().answer_limit + detail::order_margin;
   const bool sends = takes_starts(it) && !is_overfull(it);
@@ -294,11 +302,13 @@
   for (const run_key& run : book_.runs_on(it.id)) {
     if (it.rows.contains(run) || lists_end(it, run)) continue;
     if (sends && !should_stop(run)) continue;
-    const auto sent = it.sent.find(run);
-    const time_point last = std::max(
-        led_since_, sent == it.sent.end() ? time_point{} : sent->second);
+    const auto sent = it.starts_sent_at.find(run);
+    const time_point last =
+        std::max(led_since_,
+                 sent == it.starts_sent_at.end() ? time_point{} : sent->second);
     // What a heartbeat that was held up does not list may have begun since.
-    if (it.heard - it.delay - last > sure) over.push_back(run);
+    if (it.last_timely_heartbeat_at - it.delay - last > sure)
+      over.push_back(run);
   }
   if (!over.empty()) propose_loss(it, over, loss_cause::lease);
 }
@@ -308,22 +318,22 @@
 /// nobody was told of can't begin, and while it is being taken back nobody is.
 void fleet_controller::review_unsent() {
   const time_point now = clock_.now();
-  workers_.marks().unsent.review([&](worker_view& it) {
-    if (it.unsent.empty()) return false;
+  workers_.groups().with_unsent_starts.retain_if([&](worker_view& it) {
+    if (it.unsent_starts.empty()) return false;
     if (losing_.contains(it.id)) return true;
     const auto& runs = book_.runs_on(it.id);
-    std::erase_if(it.unsent,
+    std::erase_if(it.unsent_starts,
                   [&runs](const auto& p) { return !runs.contains(p.first); });
     std::vector<run_key> over;
-    for (const auto& [run, ends] : it.unsent) {
+    for (const auto& [run, ends] : it.unsent_starts) {
       if (now >= ends) over.push_back(run);
     }
-    if (over.empty()) return !it.unsent.empty();
-    for (const run_key& run : over) it.unsent.erase(run);
-    it.taken_back_at = now;
+    if (over.empty()) return !it.unsent_starts.empty();
+    for (const run_key& run : over) it.unsent_starts.erase(run);
+    it.starts_recalled_at = now;
     note_taken_back(it, over);
     propose_loss(it, over, loss_cause::unsent);
-    return !it.unsent.empty();
+    return !it.unsent_starts.empty();
   });
 }
 
--- a/fleet/controller-submissions.cc
+++ b/fleet/controller-submissions.cc
@@ -16,7 +16,7 @@
 /// caller would take "no such queue" for a promise that it never runs.
 bool fleet_controller::holds(const fleet::job_call& call) const {
   const job_entry* job = book_.find(job_number(call.job()));
-  return job != nullptr && is_under(job->queue, call.host(), call.path());
+  return job != nullptr && matches_queue(job->queue, call.host(), call.path());
 }
 
 /// A copy of a submission that is under way gets the answer of the first: what
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -43,7 +43,7 @@
                                   const answer_function& answer) {
   for (const fleet::worker_beat& it : batch.beats()) {
     const auto respond =
-        [this, answer, worker = life_of(it).str(), n = it.sequence(),
+        [this, answer, worker = incarnation_of(it).str(), n = it.sequence(),
          taken_in = clock_.now()](fleet::fleet_response response) {
           fleet::beat_answer out;
           out.set_worker(worker);
@@ -53,7 +53,8 @@
           *out.mutable_response() = std::move(response);
           answer(std::move(out));
         };
-    const auto held = [answer, worker = life_of(it).str(), n = it.sequence()] {
+    const auto held = [answer, worker = incarnation_of(it).str(),
+                       n = it.sequence()] {
       fleet::beat_answer out;
       out.set_worker(worker);
       out.set_sequence(n);
@@ -72,14 +73,14 @@
                                const respond_function& respond,
                                const std::function<void()>& held) {
   ++metrics_.counter("kestrelreel_heartbeats_total");
-  const worker_id life = life_of(beat);
+  const worker_id life = incarnation_of(beat);
   const worker_view* before = workers_.find(life);
   if (const char* fault = fault_of(beat)) {
     return refuse_beat(beat, fault, respond);
   }
-  const bool untold = before == nullptr || !before->known;
-  const bool over = before != nullptr && before->over;
-  if (over || (untold && workers_.stays_over(beat))) {
+  const bool untold = before == nullptr || !before->has_heartbeat;
+  const bool over = before != nullptr && before->loss_proposed;
+  if (over || (untold && workers_.stays_ended(beat))) {
     log_event(detail::service_name, log_level::info, "heartbeat-after-end")
         .with("worker", life.str())
         .with("sequence", beat.sequence())
@@ -87,7 +88,8 @@
     take_ends_of_unsure(beat);
     return respond(make_response(fleet::fleet_ok, "over"));
   }
-  const auto [it, timely, wants_whole, misfit] = workers_.heard(beat);
+  const auto [it, timely, wants_whole, misfit] =
+      workers_.receive_heartbeat(beat);
   if (misfit) return refuse_beat(beat, "misfit", respond);
   if (wants_whole) {
     const bool known = workers_.find(life) != nullptr;
@@ -126,9 +128,9 @@
                   nullptr)(make_response(fleet::fleet_ok, "overtaken"));
   }
   it->respond = respond;
-  it->asked = clock_.now();
+  it->call_received_at = clock_.now();
   if (held && hold_call(*it)) return held();
-  workers_.marks().calling.add(*it);
+  workers_.groups().calling.add(*it);
   pace_if_due(*it);
   unsettled_ = true;
 }
@@ -137,14 +139,16 @@
   constexpr uint64_t ms_per_s = 1'000;
   const milliseconds every(static_cast<int64_t>(
       workers_.views().size() * ms_per_s / settings_.paces_per_s));
-  if (it.heard - it.paced_at < lag_.stretched(every)) return;
-  it.paced_at = it.heard;
+  if (it.last_timely_heartbeat_at - it.paced_at < lag_.stretched(every)) return;
+  it.paced_at = it.last_timely_heartbeat_at;
   scheduler_.pace(it);
 }
 
 /// A life that nobody told of may be new, or over and still on its way here.
 void fleet_controller::note_new_life(const worker_view& it) const {
-  if (it.first_told != it.told || it.over_at != time_point{}) return;
+  if (it.first_heartbeat_at != it.last_heartbeat_at ||
+      it.lease_expires_at != time_point{})
+    return;
   log_event(detail::service_name, log_level::info, "life-appears")
       .with("worker", it.id.str())
       .with("machine", it.beat.machine())
@@ -156,12 +160,13 @@
 /// True for a worker that drains, and for one that nobody told of: what it
 /// lists now decides whether its tasks start again.
 bool fleet_controller::is_near_end(const worker_view& it) const {
-  return it.leaves || it.beat.draining() || it.first_told == it.told;
+  return it.is_leaving || it.beat.draining() ||
+         it.first_heartbeat_at == it.last_heartbeat_at;
 }
 
 void fleet_controller::take_ends(worker_view& it, const listed_ends& ends,
                                  bool timely) {
-  const uint64_t known = std::max(book_.last_end(it.id), it.end_proposed);
+  const uint64_t known = std::max(book_.last_end(it.id), it.last_end_proposed);
   fleet::fleet_command command;
   fleet::worker_report& report = *command.mutable_report();
   report.set_worker(it.id.str());
@@ -169,7 +174,7 @@
     if (end.number() <= known) continue;
     if (!make_way(end)) break;
     *report.add_ends() = end;
-    it.end_proposed = std::max(it.end_proposed, end.number());
+    it.last_end_proposed = std::max(it.last_end_proposed, end.number());
     note_end(it, end);
   }
   if (report.ends_size() == 0) return;
@@ -179,7 +184,7 @@
       .with("worker", it.id.str())
       .with("sequence", it.beat.sequence())
       .with("first", report.ends(0).number())
-      .with("last", it.end_proposed)
+      .with("last", it.last_end_proposed)
       .with("outcomes", detail::count_outcomes(report))
       .with("timely", timely ? "yes" : "no")
       .with("draining", it.beat.draining() ? "yes" : "no");
@@ -252,12 +257,13 @@
       .with("worker", worker.str())
       .with("runs", book_.runs_on(worker).size())
       .with("sequence", it.beat.sequence())
-      .with("known", it.known ? "yes" : "no")
-      .with("heard-ms-ago", (clock_.now() - it.told).count())
+      .with("known", it.has_heartbeat ? "yes" : "no")
+      .with("heard-ms-ago", (clock_.now() - it.last_heartbeat_at).count())
       .with("remaining-ms", it.beat.remaining_ms())
-      .with("recorded", it.left_at ? "yes" : "no");
-  if (it.left_at) return respond(make_response(fleet::fleet_ok, "left"));
-  it.leaves = true;
+      .with("recorded", it.leave_recorded_at ? "yes" : "no");
+  if (it.leave_recorded_at)
+    return respond(make_response(fleet::fleet_ok, "left"));
+  it.is_leaving = true;
   fleet::fleet_command command;
   command.mutable_leave()->set_worker(worker.str());
   commit(std::move(command), respond);
@@ -265,7 +271,7 @@
 
 bool fleet_controller::is_over(const worker_id& worker) {
   const worker_view* it = workers_.find(worker);
-  return it == nullptr ? workers_.is_over(worker) : it->over;
+  return it == nullptr ? workers_.is_ended(worker) : it->loss_proposed;
 }
 
 /// Stops fill tasks that get nowhere where they are and would elsewhere.
@@ -314,16 +320,16 @@
     if (view == nullptr) continue;
     const run_key run{to_key(it.task()), run_number(it.run())};
     // What was counted as proposed counts on, unless the book left it out.
-    const bool counted = view->proposed.erase(run) > 0;
+    const bool counted = view->proposed_starts.erase(run) > 0;
     if (counted && leads_) {
-      view->unsent[run] = clock_.now() + longest_call_way;
-      workers_.marks().unsent.add(*view);
-      workers_.marks().held_calls.remove(*view);
-      workers_.marks().calling.add(*view);
+      view->unsent_starts[run] = clock_.now() + max_call_delay;
+      workers_.groups().with_unsent_starts.add(*view);
+      workers_.groups().held_calls.remove(*view);
+      workers_.groups().calling.add(*view);
       recall_if_ended(run, view->id);
     }
     if (!counted || !book_.runs_on(view->id).contains(run)) {
-      view->load_is_old = true;
+      view->load_is_stale = true;
     }
   }
 }
--- a/fleet/controller.cc
+++ b/fleet/controller.cc
@@ -208,17 +208,17 @@
   if (command.has_loss()) {
     const worker_id worker(command.loss().worker());
     losing_.erase(worker);
-    if (worker_view* it = workers_.find(worker)) it->over = false;
+    if (worker_view* it = workers_.find(worker)) it->loss_proposed = false;
   }
   if (command.has_leave()) {
     // The worker was not answered, so that it may live on.
     worker_view* it = workers_.find(worker_id(command.leave().worker()));
-    if (it != nullptr) it->leaves = it->left_at.has_value();
+    if (it != nullptr) it->is_leaving = it->leave_recorded_at.has_value();
   }
   if (command.has_report()) {
     const worker_id worker(command.report().worker());
     worker_view* it = workers_.find(worker);
-    if (it != nullptr) it->end_proposed = book_.last_end(worker);
+    if (it != nullptr) it->last_end_proposed = book_.last_end(worker);
   }
   const auto it = waiting_.find(command.token());
   if (it == waiting_.end()) return;
@@ -273,15 +273,15 @@
 void fleet_controller::runs_changed(const std::string& worker) {
   worker_view* it = workers_.find(worker_id(worker));
   if (it == nullptr) return;
-  it->load_is_old = it->freed = true;
-  workers_.marks().freed.add(*it);
+  it->load_is_stale = it->freed = true;
+  workers_.groups().freed.add(*it);
 }
 
 void fleet_controller::note_left(const std::string& worker) {
   worker_view& it = workers_.expect(worker_id(worker));
-  it.leaves = true;
-  if (!it.left_at) it.left_at = clock_.now();
-  workers_.marks().left.add(it);
+  it.is_leaving = true;
+  if (!it.leave_recorded_at) it.leave_recorded_at = clock_.now();
+  workers_.groups().left.add(it);
 }
 
 /// A call of the worker that still waits is answered: it calls anew.
@@ -290,7 +290,7 @@
   worker_view* it = workers_.find(id);
   const respond_function respond =
       it == nullptr ? nullptr : std::exchange(it->respond, nullptr);
-  if (over) workers_.end_life(id);
+  if (over) workers_.end_incarnation(id);
   workers_.erase(id);
   if (respond) respond(make_response(fleet::fleet_ok, "forgotten"));
 }
@@ -298,7 +298,7 @@
 absl::Status fleet_controller::installed(const std::string& bytes) {
   const absl::Status status = book_.load(bytes);
   if (!status.ok()) return status;
-  for (auto& [id, it] : workers_.views()) it.load_is_old = true;
+  for (auto& [id, it] : workers_.views()) it.load_is_stale = true;
   unsettled_ = true;
   return status;
 }
--- a/fleet/crash-evidence.cc
+++ b/fleet/crash-evidence.cc
@@ -68,9 +68,10 @@
 bool is_harmless(const worker_view& it, const run_key& run,
                  const fleet::step_spec& step) {
   if (!it.rows.contains(run)) return false;
-  const auto sent = it.sent.find(run);
-  const time_point since = sent == it.sent.end() ? it.first_told : sent->second;
-  return it.told - since >=
+  const auto sent = it.starts_sent_at.find(run);
+  const time_point since =
+      sent == it.starts_sent_at.end() ? it.first_heartbeat_at : sent->second;
+  return it.last_heartbeat_at - since >=
          (step.gang() ? harmless_gang_after : harmless_after);
 }
 
@@ -78,7 +79,7 @@
                                          const std::set<run_key>& runs,
                                          const job_book& book,
                                          bool others_crashed) {
-  if (!it.known) return detail::examine_unheard(runs, book);
+  if (!it.has_heartbeat) return detail::examine_unheard(runs, book);
   std::vector<crash_finding> out;
   std::vector<run_key> unlisted;
   std::vector<run_key> young;
@@ -89,7 +90,7 @@
       out.push_back({run, 0, true});
     } else if (it.rows.contains(run)) {
       young.push_back(run);
-    } else if (it.sent.contains(run)) {
+    } else if (it.starts_sent_at.contains(run)) {
       unlisted.push_back(run);
     }
   }
--- a/fleet/fleet-test-world.h
+++ b/fleet/fleet-test-world.h
@@ -160,7 +160,7 @@
 
   static controller_settings make_settings() {
     controller_settings settings;
-    settings.leases.hold = milliseconds(4'000);
+    settings.leases.duration = milliseconds(4'000);
     settings.beat_address = "leader:1";
     settings.wall_clock_ms = [] { return uint64_t{1'000'000}; };
     return settings;
--- a/fleet/held-call-test.cc
+++ b/fleet/held-call-test.cc
@@ -71,7 +71,7 @@
 
 TEST(held_call, worker_was_silent_before_its_next_call_was_due) {
   controller_settings settings = seldom();
-  settings.leases.hold = longest_hold;
+  settings.leases.duration = max_lease_duration;
   settings.idle_beats_per_s = 2;
   test_world slow(settings);
   slow.configure(1, 99);
@@ -110,8 +110,8 @@
   test_clock clock;
   metrics_registry metrics;
   intake_settings settings;
-  settings.first_window = settings.least_window = 1;
-  beat_intake intake(settings, clock, metrics);
+  settings.initial_window = settings.min_window = 1;
+  heartbeat_intake intake(settings, clock, metrics);
   int answered = 0;
   for (const char* worker : {"a", "b"}) {
     fleet::worker_beat beat;
@@ -122,16 +122,16 @@
     intake.take(beat, [&](const fleet::fleet_response&) { ++answered; });
   }
   LONGS_EQUAL(1, intake.collect("L").beats_size());
-  CHECK_FALSE(intake.has_news());
+  CHECK_FALSE(intake.has_pending_calls());
   fleet::beat_answers notice;
   fleet::beat_answer& it = *notice.add_answers();
   it.set_worker("a");
   it.set_sequence(1);
   it.set_held(true);
-  intake.answered(notice);
+  intake.handle_answers(notice);
   LONGS_EQUAL(0, answered);
   LONGS_EQUAL(1, intake.collect("L").beats_size());
   it.set_held(false);
-  intake.answered(notice);
+  intake.handle_answers(notice);
   LONGS_EQUAL(1, answered);
 }
--- a/fleet/innocent-crash-test.cc
+++ b/fleet/innocent-crash-test.cc
@@ -172,13 +172,13 @@
     world.submit(a, {test_world::make_step(1)});
     world.submit(b, {test_world::make_step(1)});
     worker_view view;
-    view.known = true;
-    view.told = milliseconds(90'000);
+    view.has_heartbeat = true;
+    view.last_heartbeat_at = milliseconds(90'000);
     std::set<run_key> runs;
     const auto add = [&](uint64_t job, bool listed, int64_t age_ms) {
       const run_key run{{job_number(job), 0, 0, 0}, run_number(1)};
       runs.insert(run);
-      view.sent[run] = view.told - milliseconds(age_ms);
+      view.starts_sent_at[run] = view.last_heartbeat_at - milliseconds(age_ms);
       if (listed) view.rows[run] = fleet::running_row();
       return run;
     };
--- a/fleet/intake-directory-test.cc
+++ b/fleet/intake-directory-test.cc
@@ -37,7 +37,7 @@
   };
   for (const auto& it : rows) {
     intake_directory directory(box_id("self"), data_centre_id("c"), "self:1");
-    directory.know_own_way(milliseconds(900));
+    directory.set_own_rtt(milliseconds(900));
     const time_point now{1'000};
     directory.heard(box_id("b1"), hello("a", "near:1", it.near), now);
     directory.heard(box_id("b2"), hello("b", "far:1", it.far), now);
--- a/fleet/intake-directory.cc
+++ b/fleet/intake-directory.cc
@@ -7,20 +7,20 @@
 namespace kestrelreel {
 namespace detail {
 
-/// Control boxes tell of themselves every quarter of a second; one that misses
-/// four times is not sent anybody.
-constexpr milliseconds up_for{1'100};
+/// Control boxes announce themselves every 250 ms. A box that misses four
+/// announcements is not assigned any workers.
+constexpr milliseconds live_for{1'100};
 
-/// Half of what makes a heartbeat's answer late.
-constexpr milliseconds long_way{200};
-constexpr milliseconds short_way{100};
+/// Half of the round-trip time that makes a heartbeat's answer late.
+constexpr milliseconds slow_rtt{200};
+constexpr milliseconds fast_rtt{100};
 
 }  // namespace detail
 
-bool is_slow_way(std::optional<milliseconds> way,
-                 std::optional<milliseconds> elsewhere) {
-  return way && *way > detail::long_way && elsewhere &&
-         *elsewhere < detail::short_way;
+bool is_slow_rtt(std::optional<milliseconds> rtt,
+                 std::optional<milliseconds> best_peer_rtt) {
+  return rtt && *rtt > detail::slow_rtt && best_peer_rtt &&
+         *best_peer_rtt < detail::fast_rtt;
 }
 
 intake_directory::intake_directory(const box_id& self,
@@ -35,21 +35,21 @@
   if (from == self_ || it.beat_address().empty()) return;
   entry& box = boxes_[from] = {it.data_centre(), it.beat_address(), now, {}};
   if (it.has_way_ms()) {
-    box.way = milliseconds(static_cast<int64_t>(it.way_ms()));
+    box.rtt = milliseconds(static_cast<int64_t>(it.way_ms()));
   }
 }
 
-bool intake_directory::is_up(const box_id& box, const entry& it,
-                             time_point now) const {
-  return box == self_ || now - it.heard < detail::up_for;
+bool intake_directory::is_live(const box_id& box, const entry& it,
+                               time_point now) const {
+  return box == self_ || now - it.heard_at < detail::live_for;
 }
 
-std::optional<milliseconds> intake_directory::shortest_way(
+std::optional<milliseconds> intake_directory::best_peer_rtt(
     time_point now) const {
   std::optional<milliseconds> out;
   for (const auto& [box, it] : boxes_) {
-    if (box == self_ || !it.way || !is_up(box, it, now)) continue;
-    out = out ? std::min(*out, *it.way) : *it.way;
+    if (box == self_ || !it.rtt || !is_live(box, it, now)) continue;
+    out = out ? std::min(*out, *it.rtt) : *it.rtt;
   }
   return out;
 }
@@ -57,11 +57,11 @@
 std::string intake_directory::address_for(const std::string& data_centre,
                                           const std::string& worker,
                                           time_point now) const {
-  const auto shortest = shortest_way(now);
+  const auto shortest = best_peer_rtt(now);
   std::vector<const entry*> near;
   std::vector<const entry*> all;
   for (const auto& [box, it] : boxes_) {
-    if (!is_up(box, it, now) || is_slow_way(it.way, shortest)) continue;
+    if (!is_live(box, it, now) || is_slow_rtt(it.rtt, shortest)) continue;
     all.push_back(&it);
     if (it.data_centre == data_centre) near.push_back(&it);
   }
--- a/fleet/intake-directory.h
+++ b/fleet/intake-directory.h
@@ -1,4 +1,4 @@
-// Which control box a worker should call.
+// Selects the control box that a worker should call.
 #pragma once
 
 #include <map>
@@ -11,30 +11,29 @@
 
 namespace kestrelreel {
 
-/// True where calls and answers take long on their way to and from the leader
-/// alone, and less than half of it elsewhere. A slow leader makes all ways
-/// long, as calls wait there unread.
-bool is_slow_way(std::optional<milliseconds> way,
-                 std::optional<milliseconds> elsewhere);
+/// True when a box's round-trip time to the leader is high, and another box has
+/// less than half of the limit. A slow leader makes the round trips of all
+/// boxes slow, as calls wait there unread.
+bool is_slow_rtt(std::optional<milliseconds> rtt,
+                 std::optional<milliseconds> best_peer_rtt);
 
-/// Knows the control boxes that are up from what they tell of themselves. Each
-/// worker calls the one in its data centre, so that its rows cross to another
-/// only as differences; without one there the workers are spread over all.
+/// Directory of the live control boxes, built from their announcements. Each
+/// worker calls a box in its data centre, so that rows cross to another data
+/// centre only as differences. Without a box there the workers are spread over
+/// all boxes.
 class intake_directory {
  public:
-  /// This box, which is always up.
+  /// Adds this box, which always counts as live.
   intake_directory(const box_id& self, const data_centre_id& data_centre,
                    const std::string& address);
 
-  /// What another control box told of itself.
+  /// Records the announcement of another control box.
   void heard(const box_id& from, const fleet::box_hello& it, time_point now);
-  /// How long the way between this box and the leader is, if that is known.
-  void know_own_way(std::optional<milliseconds> way) {
-    boxes_[self_].way = way;
-  }
-  /// The shortest way that another box told.
-  std::optional<milliseconds> shortest_way(time_point now) const;
-  /// Where a worker of that data centre should call: an IP:PORT.
+  /// Sets this box's round-trip time to the leader; none while unknown.
+  void set_own_rtt(std::optional<milliseconds> rtt) { boxes_[self_].rtt = rtt; }
+  /// The lowest round-trip time to the leader that another live box reports.
+  std::optional<milliseconds> best_peer_rtt(time_point now) const;
+  /// Address that a worker of a data centre should call, as IP:PORT.
   std::string address_for(const std::string& data_centre,
                           const std::string& worker, time_point now) const;
 
@@ -42,10 +41,10 @@
   struct entry {
     std::string data_centre;
     std::string address;
-    time_point heard{};
-    std::optional<milliseconds> way{};
+    time_point heard_at{};
+    std::optional<milliseconds> rtt{};
   };
-  bool is_up(const box_id& box, const entry& it, time_point now) const;
+  bool is_live(const box_id& box, const entry& it, time_point now) const;
 
   box_id self_;
   std::map<box_id, entry> boxes_;
--- a/fleet/job-book-save.cc
+++ b/fleet/job-book-save.cc
@@ -1,4 +1,4 @@
-// The book as bytes, for snapshots.
+// Serializes and loads the replicated state, for snapshots.
 #include <algorithm>
 #include <utility>
 
@@ -9,14 +9,14 @@
 namespace kestrelreel {
 namespace detail {
 
-bool is_fresh(const task_entry& it) {
+bool is_untouched(const task_entry& it) {
   return it.phase == task_phase::waiting && it.run.value() == 0;
 }
 
 void save_tasks(const step_entry& step, fleet::saved_step& out) {
   for (size_t i = 0; i < step.tasks.size(); ++i) {
     const task_entry& it = step.tasks[i];
-    if (is_fresh(it)) continue;
+    if (is_untouched(it)) continue;
     fleet::saved_task& task = *out.add_tasks();
     task.set_index(static_cast<uint32_t>(i));
     task.set_run(static_cast<uint32_t>(it.run.value()));
@@ -109,7 +109,8 @@
   const std::map<worker_id, uint64_t> ends(last_ends_.begin(),
                                            last_ends_.end());
   for (const auto& [worker, n] : ends) {
-    // Below, among those that left: equal states are equal bytes.
+    // Written below with the workers that left, so that equal states produce
+    // equal bytes.
     if (n == 0 && left_.contains(worker)) continue;
     fleet::saved_worker& it = *out.add_workers();
     it.set_worker(worker.str());
@@ -122,7 +123,7 @@
     it.set_worker(worker.str());
     it.set_left(true);
   }
-  // Runs of jobs that are over are alive until their workers list the end.
+  // Runs of ended jobs stay alive until their workers list the end.
   detail::save_runs({runs_.begin(), runs_.end()}, *out.mutable_alive());
   detail::save_runs(lapsed_, *out.mutable_lapsed());
   for (const job_number it : cancelled_early_) {
@@ -135,10 +136,10 @@
 }
 
 absl::Status job_book::load_job(const fleet::saved_job& it) {
-  // A job that is over keeps no steps' tasks, and its text is gone.
-  const job_number saved_as(it.spec().job());
-  const bool sound = check_job(it.spec()).ok();
-  if (!sound) return detail::corrupt(saved_as, "steps that none may have");
+  // An ended job has neither the tasks of its steps nor its text.
+  const job_number saved_number(it.spec().job());
+  const bool valid = check_job(it.spec()).ok();
+  if (!valid) return detail::corrupt(saved_number, "invalid steps");
   job_entry job;
   job.spec = it.spec();
   job.queue = it.queue();
@@ -147,13 +148,13 @@
   job.order = it.order();
   const job_number number(job.spec.job());
   put_job(std::move(job));
-  job_entry& placed = jobs_.at(number);
+  job_entry& stored = jobs_.at(number);
   for (const fleet::saved_step& saved : it.steps()) {
-    if (saved.time() >= placed.times.size() ||
-        saved.step() >= placed.times[saved.time()].size()) {
+    if (saved.time() >= stored.times.size() ||
+        saved.step() >= stored.times[saved.time()].size()) {
       return detail::corrupt(number, "a step that it does not have");
     }
-    step_entry& step = placed.times[saved.time()][saved.step()];
+    step_entry& step = stored.times[saved.time()][saved.step()];
     step.gang_failures = saved.gang_failures();
     for (const fleet::saved_task& from : saved.tasks()) {
       if (from.index() >= step.tasks.size() ||
@@ -169,7 +170,7 @@
   return absl::OkStatus();
 }
 
-absl::Status job_book::load_whole(const fleet::fleet_snapshot& in) {
+absl::Status job_book::load_state(const fleet::fleet_snapshot& in) {
   if (in.has_config()) put_config(in.config());
   for (const fleet::saved_job& it : in.jobs()) {
     const absl::Status status = load_job(it);
@@ -196,10 +197,10 @@
 absl::Status job_book::load(const std::string& bytes) {
   fleet::fleet_snapshot in;
   if (!in.ParseFromString(bytes)) {
-    return absl::DataLossError("the saved state can't be read");
+    return absl::DataLossError("the saved state can't be parsed");
   }
   job_book loaded;
-  const absl::Status status = loaded.load_whole(in);
+  const absl::Status status = loaded.load_state(in);
   if (status.ok()) *this = std::move(loaded);
   return status;
 }
--- a/fleet/job-book.cc
+++ b/fleet/job-book.cc
@@ -6,9 +6,9 @@
 namespace kestrelreel {
 namespace detail {
 
-/// True when a run that ended so had worked on a worker that lives on. Members
-/// of a gang that wait for the others have not.
-bool shows_no_crash(fleet::run_outcome outcome, const fleet::step_spec* step) {
+/// True when a run with this outcome executed on a worker that survived it.
+/// Members of a gang that still wait for the others have not executed.
+bool rules_out_crash(fleet::run_outcome outcome, const fleet::step_spec* step) {
   if (outcome == fleet::run_refused) return false;
   const bool gang = step != nullptr && step->gang();
   return !gang || outcome == fleet::run_done || outcome == fleet::run_failed;
@@ -58,8 +58,8 @@
   return it == last_ends_.end() ? 0 : it->second;
 }
 
-bool job_book::step_is_due(const job_entry& job, uint32_t time,
-                           uint32_t step) const {
+bool job_book::dependencies_done(const job_entry& job, uint32_t time,
+                                 uint32_t step) const {
   const auto& steps = job.times[time];
   for (const uint32_t it :
        job.spec.steps(static_cast<int>(step)).depends_on()) {
@@ -69,12 +69,12 @@
   return true;
 }
 
-bool is_known(const fleet::fleet_command& command) {
+bool is_supported_command(const fleet::fleet_command& command) {
   if (!command.has_batch()) {
     return command.body_case() != fleet::fleet_command::BODY_NOT_SET;
   }
   const auto& all = command.batch().commands();
-  return std::all_of(all.begin(), all.end(), is_known);
+  return std::all_of(all.begin(), all.end(), is_supported_command);
 }
 
 job_book::result job_book::apply(const fleet::fleet_command& command) {
@@ -90,11 +90,11 @@
     case fleet::fleet_command::kReport:
       return report(command.report());
     case fleet::fleet_command::kLoss:
-      return lose(command.loss());
+      return declare_lost(command.loss());
     case fleet::fleet_command::kForget:
       return forget(command.forget());
     case fleet::fleet_command::kBatch:
-      return apply_all(command.batch());
+      return apply_batch(command.batch());
     case fleet::fleet_command::kLeave:
       return leave(command.leave());
     case fleet::fleet_command::kEvacuation:
@@ -106,14 +106,15 @@
   return {fleet::fleet_invalid, "a command of a newer version"};
 }
 
-/// What each of them came to is asked for one by one: the last stands for all.
-job_book::result job_book::apply_all(const fleet::command_batch& batch) {
+/// Returns the result of the last command. Code that needs the result of each
+/// command applies them one by one.
+job_book::result job_book::apply_batch(const fleet::command_batch& batch) {
   result last;
   for (const fleet::fleet_command& it : batch.commands()) last = apply(it);
   return last;
 }
 
-/// The highest version rules; any other is acknowledged and changes nothing.
+/// The highest version is in force; any other is acknowledged and ignored.
 job_book::result job_book::put_config(const fleet::fleet_config& config) {
   if (config.version() <= config_.version()) return {};
   config_ = config;
@@ -170,13 +171,13 @@
   for (const fleet::worker_place& it : starts.places()) {
     places_[worker_id(it.worker())] = it;
   }
-  for (const fleet::run_start& it : starts.starts()) start_one(it);
+  for (const fleet::run_start& it : starts.starts()) apply_start(it);
   return {};
 }
 
-/// A start that no longer fits the state, such as one of a job that was
-/// cancelled meanwhile, does nothing.
-void job_book::start_one(const fleet::run_start& it) {
+/// Ignores a start that is no longer valid, such as one of a job that was
+/// cancelled in the meantime.
+void job_book::apply_start(const fleet::run_start& it) {
   const run_key run{to_key(it.task()), run_number(it.run())};
   task_entry* task = find_task(run.task);
   if (task == nullptr || task->phase != task_phase::waiting) return;
@@ -206,16 +207,16 @@
         !runs_on(worker).contains(run)) {
       out.uncounted.push_back({run, it.outcome(), task->run});
     }
-    close(worker, run, it.outcome(), it.saved());
-    if (detail::shows_no_crash(it.outcome(), find_step(run.task)))
+    close_run(worker, run, it.outcome(), it.saved());
+    if (detail::rules_out_crash(it.outcome(), find_step(run.task)))
       clear_crashes(run);
   }
-  for (const auto& it : report.sightings()) note_sighting(it);
+  for (const auto& it : report.sightings()) record_sighting(it);
   return out;
 }
 
-void job_book::close(const worker_id& worker, const run_key& run,
-                     fleet::run_outcome outcome, const std::string& saved) {
+void job_book::close_run(const worker_id& worker, const run_key& run,
+                         fleet::run_outcome outcome, const std::string& saved) {
   const auto found = runs_.find(worker);
   const bool held = found != runs_.end() && found->second.erase(run) > 0;
   if (held && found->second.empty()) runs_.erase(found);
@@ -224,12 +225,12 @@
   job_entry& job = jobs_.at(run.task.job);
   step_entry& step = job.times[run.task.time][run.task.step];
   const fleet::step_spec& spec = *find_step(run.task);
-  // An end that comes after its run was given up on still tells that the work
-  // is done, as long as no other run of it is under way.
+  // A successful end that arrives after its run was declared lost still counts
+  // as long as no other run of the task is active.
   const bool late = !held && task->phase == task_phase::waiting &&
                     run.run <= task->run && outcome == fleet::run_done;
   if (!held && !late) return;
-  // Another member's good end has already stood for this one.
+  // Another member's successful end has already completed this task.
   const bool current =
       task->phase == task_phase::running && task->run == run.run;
   if (held && !current) return;
@@ -240,19 +241,19 @@
   if (!saved.empty()) task->saved = saved;
   if (outcome == fleet::run_failed)
     return count_failure(job, step, *task, spec);
-  if (spec.gang()) save_gang(step, run.run, saved);
+  if (spec.gang()) save_gang_checkpoint(step, run.run, saved);
   if (outcome != fleet::run_done || spec.long_running()) return;
   mark_done(step, *task);
-  // One member's good end stands for its whole gang.
+  // A successful end of one member completes the whole gang.
   for (task_entry& it : step.tasks) {
     if (spec.gang() && it.run == run.run) mark_done(step, it);
   }
   finish_if_done(job);
 }
 
-/// A checkpoint of any member serves for all.
-void job_book::save_gang(step_entry& step, run_number run,
-                         const std::string& saved) {
+/// A checkpoint of any member applies to the whole gang.
+void job_book::save_gang_checkpoint(step_entry& step, run_number run,
+                                    const std::string& saved) {
   if (saved.empty()) return;
   for (task_entry& it : step.tasks) {
     if (it.run == run) it.saved = saved;
@@ -267,7 +268,7 @@
   ++step.done;
 }
 
-task_key job_book::record_key(const task_key& task) const {
+task_key job_book::crash_record_key(const task_key& task) const {
   const fleet::step_spec* step = find_step(task);
   const bool gang = step != nullptr && step->gang();
   return gang ? task_key{task.job, task.time, task.step, 0} : task;
@@ -275,7 +276,7 @@
 
 crash_record job_book::crash_of(const task_key& task) const {
   if (suspects_.empty()) return {};
-  const task_entry* it = find(record_key(task));
+  const task_entry* it = find(crash_record_key(task));
   return it == nullptr ? crash_record() : it->crash;
 }
 
@@ -283,10 +284,10 @@
   return crash_of(task).crashes > 0;
 }
 
-void job_book::note_sighting(const fleet::run_sighting& it) {
+void job_book::record_sighting(const fleet::run_sighting& it) {
   const run_key run{to_key(it.task()), run_number(it.run())};
   if (it.progress() == fleet::run_harmless) return clear_crashes(run);
-  task_entry* task = find_task(record_key(run.task));
+  task_entry* task = find_task(crash_record_key(run.task));
   if (task == nullptr || task->crash.crashes == 0) return;
   crash_record& crash = task->crash;
   crash.ordered = std::max(crash.ordered, run.run);
@@ -296,16 +297,17 @@
 }
 
 void job_book::clear_crashes(const run_key& run) {
-  const task_key key = record_key(run.task);
+  const task_key key = crash_record_key(run.task);
   task_entry* task = find_task(key);
   if (task == nullptr || run.run <= task->crash.run) return;
   task->crash = {};
   suspects_.erase(key);
 }
 
-/// A crash may be known only after the run was given up on and another began.
+/// A crash may be detected only after the run was declared lost and another
+/// one started.
 void job_book::count_crash(const run_key& run, uint32_t evidence, result& out) {
-  const task_key key = record_key(run.task);
+  const task_key key = crash_record_key(run.task);
   task_entry* task = find_task(key);
   if (task == nullptr || task->phase == task_phase::done) return;
   crash_record& crash = task->crash;
@@ -337,7 +339,7 @@
   finish(job, fleet::job_succeeded);
 }
 
-/// Runs that are still alive stay in `runs_` until they end.
+/// Runs that are still alive remain in `runs_` until they end.
 void job_book::finish(job_entry& job, fleet::job_phase phase) {
   if (!job.live()) return;
   job.phase = phase;
@@ -351,19 +353,20 @@
   job.spec.clear_text();
 }
 
-job_book::result job_book::lose(const fleet::worker_loss& loss) {
+job_book::result job_book::declare_lost(const fleet::worker_loss& loss) {
   const worker_id worker(loss.worker());
   result out;
   for (const fleet::run_loss& it : loss.runs()) {
     const run_key run{to_key(it.task()), run_number(it.run())};
-    close(worker, run, fleet::run_lapsed, it.saved());
+    close_run(worker, run, fleet::run_lapsed, it.saved());
     if (loss.silent()) lapsed_[worker].insert(run);
     if (it.survived()) clear_crashes(run);
     if (it.crash_evidence() > 0) count_crash(run, it.crash_evidence(), out);
   }
   if (!loss.gone()) return out;
-  const std::set<run_key> rest = runs_on(worker);
-  for (const run_key& it : rest) close(worker, it, fleet::run_lapsed, "");
+  const std::set<run_key> remaining = runs_on(worker);
+  for (const run_key& it : remaining)
+    close_run(worker, it, fleet::run_lapsed, "");
   last_ends_.erase(worker);
   left_.erase(worker);
   places_.erase(worker);
@@ -371,7 +374,7 @@
   return out;
 }
 
-/// Its runs stay: their ends may be on their way by a slower road.
+/// Keeps the worker's runs: their ends may still arrive by a slower path.
 job_book::result job_book::leave(const fleet::worker_leave& leave) {
   left_.insert(worker_id(leave.worker()));
   return {};
--- a/fleet/job-book.h
+++ b/fleet/job-book.h
@@ -1,5 +1,5 @@
 // The replicated state of a seeded deployment: the configuration, the jobs and
-// every run that may be alive. Equal logs give equal books.
+// every run that may be alive. Equal logs produce equal states.
 #pragma once
 
 #include <cstdint>
@@ -16,54 +16,55 @@
 
 namespace kestrelreel {
 
-/// What a task is doing, as far as it was recorded.
+/// Recorded phase of a task.
 enum class task_phase : uint8_t { waiting = 0, running = 1, done = 2 };
 
-/// What the crashes of workers say against a task.
+/// Worker crashes that are attributed to a task.
 struct crash_record {
   uint32_t crashes = 0;
   uint32_t evidence = 0;
-  /// The last run that was counted, and the last one since that was ordered,
-  /// and that its worker listed.
+  /// The last run whose crash was counted, and the last later runs that were
+  /// ordered and that their worker listed.
   run_number run;
   run_number ordered;
   run_number listed;
 };
 
-/// One task of one time of a step.
+/// One task of one repetition of a step.
 struct task_entry {
   task_phase phase = task_phase::waiting;
   run_number run;
   uint32_t failures = 0;
-  /// Who runs it, while `running`.
+  /// The worker that runs the task, while `running`.
   worker_id worker;
-  /// The newest checkpoint that was recorded; empty without one.
+  /// The newest recorded checkpoint; empty without one.
   std::string saved;
-  /// Of all runs since one that did not end with a crash of its worker. A gang
-  /// starts and ends as one: its first task keeps the record.
+  /// Covers all runs since the last one that did not end with a crash of its
+  /// worker. A gang starts and ends together: its first task holds the record.
   crash_record crash;
 };
 
-/// One time of a step.
+/// One repetition of a step.
 struct step_entry {
   std::vector<task_entry> tasks;
   uint32_t done = 0;
   uint32_t running = 0;
-  /// Runs of the whole gang that failed.
+  /// Failed runs of the whole gang.
   uint32_t gang_failures = 0;
 };
 
-/// One job.
+/// A submitted job and the state of its steps.
 struct job_entry {
   fleet::fleet_job_spec spec;
-  /// The queue as it was when the job came; a later configuration goes first.
+  /// The queue's settings at submission; a later configuration takes
+  /// precedence.
   fleet::queue_route queue;
   fleet::job_phase phase = fleet::job_queued;
-  /// True once a task of it has been started.
+  /// True once a task of the job has been started.
   bool begun = false;
-  /// Rises with every job that is accepted.
+  /// Increases with every accepted job.
   uint64_t order = 0;
-  /// The steps of each time; empty once the job is over.
+  /// The steps of each repetition; empty once the job has ended.
   std::vector<std::vector<step_entry>> times;
 
   bool live() const {
@@ -71,36 +72,37 @@
   }
 };
 
-/// With so much evidence a task is taken to crash each worker that starts it.
+/// Amount of crash evidence at which a task's job fails: the task is assumed to
+/// crash every worker that starts the task.
 constexpr uint32_t crash_evidence_limit = 8;
 
-/// The state. Only `apply` and `load` change it.
+/// The replicated state machine. Only `apply` and `load` change the state.
 class job_book {
  public:
-  /// An end that changed nothing, as another run has begun.
+  /// An end without effect, as another run has started.
   struct uncounted_end {
     run_key run;
     fleet::run_outcome outcome;
     run_number present;
   };
-  /// A task that crashed workers and failed its job by that.
-  struct given_up {
+  /// A task whose worker crashes made its job fail.
+  struct failed_by_crashes {
     task_key task;
     crash_record crash;
   };
-  /// What an applied command came to.
+  /// Result of applying a command.
   struct result {
     fleet::fleet_status status = fleet::fleet_ok;
     std::string reason;
     std::vector<uncounted_end> uncounted{};
-    std::vector<given_up> crashing{};
+    std::vector<failed_by_crashes> crashing{};
   };
 
   result apply(const fleet::fleet_command& command);
-  /// The whole state, for `load` elsewhere.
+  /// Serializes the whole state for `load`.
   std::string save() const;
-  /// Takes the place of all. Bytes that are no whole state, or name what the
-  /// state does not hold, change nothing: part of a state is none.
+  /// Replaces the whole state. Fails and changes nothing if the bytes are
+  /// incomplete or refer to entries that the state does not hold.
   absl::Status load(const std::string& bytes);
 
   const fleet::fleet_config& config() const { return config_; }
@@ -108,18 +110,18 @@
     return jobs_;
   }
   const job_entry* find(job_number job) const;
-  /// Jobs that were cancelled before any copy of them came: one that comes
-  /// later is over at once, as its caller was told that it does not exist.
+  /// Jobs that were cancelled before they were submitted. A later submission
+  /// ends at once, as the caller was told that the job does not exist.
   const std::set<job_number>& cancelled_early() const {
     return cancelled_early_;
   }
-  /// Jobs that are neither over nor refused, in the order of their coming.
+  /// Jobs that have not ended, in the order of submission.
   const std::map<uint64_t, job_number>& live() const { return live_; }
-  /// The entry of a task, or null when its job or place does not exist.
+  /// The entry of a task, or null when the job or the task does not exist.
   const task_entry* find(const task_key& key) const;
   const fleet::step_spec* find_step(const task_key& key) const;
-  /// The queue that rules a job: the configuration's, or else the one that it
-  /// came by.
+  /// The queue settings that apply to a job: those of the configuration, or
+  /// those at submission if the queue is no longer configured.
   const fleet::queue_route& queue_of(const job_entry& job) const;
 
   /// Runs that may be alive on a worker.
@@ -127,61 +129,63 @@
   const std::unordered_map<worker_id, std::set<run_key>>& runs() const {
     return runs_;
   }
-  /// Number of the last end of a worker that was recorded; 0 before any.
+  /// Number of the last recorded end of a worker; 0 before any.
   uint64_t last_end(const worker_id& worker) const;
   const std::unordered_map<worker_id, uint64_t>& workers() const {
     return last_ends_;
   }
-  /// Workers that left in order and whose ends may still come.
+  /// Workers that left in order and whose ends may still arrive.
   const std::set<worker_id>& left() const { return left_; }
-  /// Data centres in which nothing is to be started.
+  /// Data centres in which no task may start.
   const evacuations& evacuated() const { return evacuations_; }
-  /// Tasks, and gangs by their first task, under which a worker crashed, and
-  /// that have not worked since.
+  /// Tasks, and gangs by their first task, whose worker crashed and that have
+  /// not run successfully since.
   const std::set<task_key>& suspects() const { return suspects_; }
-  /// True for one of them, or a member of its gang: it is tried apart from
-  /// others.
+  /// True for a suspect task or a member of a suspect gang, which is started
+  /// separately from other tasks.
   bool is_suspect(const task_key& task) const;
-  /// The task that keeps the record of crashes: a gang's first one.
-  task_key record_key(const task_key& task) const;
-  /// What is held against the task, or its gang.
+  /// The task that holds the crash record: the first one of a gang, else the
+  /// task itself.
+  task_key crash_record_key(const task_key& task) const;
+  /// The crash record of the task or its gang.
   crash_record crash_of(const task_key& task) const;
-  /// Runs that were given up on as their worker fell silent, and since which
-  /// nothing was heard of it.
+  /// Runs that were declared lost when their worker fell silent, by worker,
+  /// until the worker is heard from again.
   const std::map<worker_id, std::set<run_key>>& lapsed() const {
     return lapsed_;
   }
-  /// Where the lives of workers run that ever got a start, unless they are
-  /// over.
+  /// Places of the worker incarnations that were ever ordered a start and have
+  /// not ended.
   const std::map<worker_id, fleet::worker_place>& places() const {
     return places_;
   }
 
-  /// True when all steps that `step` depends on are done in that time.
-  bool step_is_due(const job_entry& job, uint32_t time, uint32_t step) const;
+  /// True when all steps that `step` depends on are done in that repetition.
+  bool dependencies_done(const job_entry& job, uint32_t time,
+                         uint32_t step) const;
 
  private:
-  absl::Status load_whole(const fleet::fleet_snapshot& in);
-  result apply_all(const fleet::command_batch& batch);
+  absl::Status load_state(const fleet::fleet_snapshot& in);
+  result apply_batch(const fleet::command_batch& batch);
   result put_config(const fleet::fleet_config& config);
   result submit(const fleet::fleet_job_spec& spec);
   result cancel(const fleet::job_list& jobs);
   result start(const fleet::run_starts& starts);
   result report(const fleet::worker_report& report);
-  result lose(const fleet::worker_loss& loss);
+  result declare_lost(const fleet::worker_loss& loss);
   result leave(const fleet::worker_leave& leave);
   result forget(const fleet::job_list& jobs);
 
-  void start_one(const fleet::run_start& it);
-  void close(const worker_id& worker, const run_key& run,
-             fleet::run_outcome outcome, const std::string& saved);
+  void apply_start(const fleet::run_start& it);
+  void close_run(const worker_id& worker, const run_key& run,
+                 fleet::run_outcome outcome, const std::string& saved);
   static void mark_done(step_entry& step, task_entry& task);
   void count_failure(job_entry& job, step_entry& step, task_entry& task,
                      const fleet::step_spec& spec);
-  static void save_gang(step_entry& step, run_number run,
-                        const std::string& saved);
+  static void save_gang_checkpoint(step_entry& step, run_number run,
+                                   const std::string& saved);
   void clear_crashes(const run_key& run);
-  void note_sighting(const fleet::run_sighting& it);
+  void record_sighting(const fleet::run_sighting& it);
   void count_crash(const run_key& run, uint32_t evidence, result& out);
   void finish(job_entry& job, fleet::job_phase phase);
   void finish_if_done(job_entry& job);
@@ -205,8 +209,8 @@
   uint64_t next_order_ = 1;
 };
 
-/// True when this program knows what the command, or each one of a batch, asks
-/// for: one of a later version can't be left out, as the next ones build on it.
-bool is_known(const fleet::fleet_command& command);
+/// True when this version supports the command and each command of a batch. A
+/// command of a later version can't be skipped, as later commands depend on it.
+bool is_supported_command(const fleet::fleet_command& command);
 
 }  // namespace kestrelreel
--- a/fleet/kept-rooms-test-world.h
+++ b/fleet/kept-rooms-test-world.h
@@ -88,7 +88,7 @@
   size_t rooms(uint64_t job) {
     size_t n = 0;
     for (const auto& [id, it] : controller.workers().views()) {
-      for (const kept_room& room : it.kept) {
+      for (const capacity_reservation& room : it.reservations) {
         n += room.step.job == job_number(job) ? 1U : 0U;
       }
     }
--- a/fleet/kept-rooms.cc
+++ b/fleet/kept-rooms.cc
@@ -48,8 +48,8 @@
                            ? static_cast<double>(spec.estimate_ms()) / ms_per_s
                            : unknown_s;
   const auto row = it.rows.find(run);
-  const auto sent = it.sent.find(run);
-  if (row == it.rows.end() || sent == it.sent.end()) return whole;
+  const auto sent = it.starts_sent_at.find(run);
+  if (row == it.rows.end() || sent == it.starts_sent_at.end()) return whole;
   const double percent = row->second.percent();
   const double left = std::max(0.0, full_percent - percent);
   const double by_estimate = whole * left / full_percent;
@@ -84,7 +84,8 @@
 }
 
 /// True for room that tasks of that priority leave alone.
-bool fleet_scheduler::binds(const kept_room& kept, uint32_t priority) const {
+bool fleet_scheduler::binds(const capacity_reservation& kept,
+                            uint32_t priority) const {
   return priority_of(kept.step) <= priority;
 }
 
@@ -150,7 +151,7 @@
   gain need{it.load.cpu + spec.cpu_milli(),
             it.load.memory_mb + spec.memory_mb(),
             uint64_t{it.load.accelerators} + spec.accelerators()};
-  for (const kept_room& kept : it.kept) {
+  for (const capacity_reservation& kept : it.reservations) {
     if (!binds(kept, step.priority)) continue;
     need.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
@@ -196,9 +197,9 @@
   worker_view& it = *worker.where;
   if (!may_carry(it, step)) return std::nullopt;
   auto same = static_cast<uint32_t>(
-      std::count_if(it.kept.begin(), it.kept.end(),
+      std::count_if(it.reservations.begin(), it.reservations.end(),
                     [&](const auto& kept) { return kept.step == step.first; }));
-  same += it.load.of_step(step.first);
+  same += it.load.tasks_of_step(step.first);
   const uint32_t spread = step.spec.anti_affinity();
   if (spread > 0 && same >= spread) return std::nullopt;
   const auto chosen = enough_ways(need, worker.ways, limit);
@@ -218,9 +219,9 @@
 size_t fleet_scheduler::drop_rooms() {
   std::map<task_key, uint32_t> wanted;
   size_t n = 0;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
     const bool usable = is_usable(it);
-    std::erase_if(it.kept, [&](const kept_room& kept) {
+    std::erase_if(it.reservations, [&](const capacity_reservation& kept) {
       if (!usable || kept.until <= clock_.now()) return true;
       const auto [left, fresh] = wanted.try_emplace(kept.step);
       if (fresh) left->second = unplaced(kept.step, true);
@@ -228,8 +229,8 @@
       --left->second;
       return false;
     });
-    n += it.kept.size();
-    return !it.kept.empty();
+    n += it.reservations.size();
+    return !it.reservations.empty();
   });
   return n;
 }
@@ -254,14 +255,14 @@
 std::optional<fleet_scheduler::room_place> fleet_scheduler::lesser_room(
     uint32_t priority) {
   std::optional<room_place> out;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
-    for (size_t i = 0; i < it.kept.size(); ++i) {
-      const uint32_t own = priority_of(it.kept[i].step);
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
+    for (size_t i = 0; i < it.reservations.size(); ++i) {
+      const uint32_t own = priority_of(it.reservations[i].step);
       if (own <= priority) continue;
       priority = own;
       out = room_place{&it, i};
     }
-    return !it.kept.empty();
+    return !it.reservations.empty();
   });
   return out;
 }
@@ -270,12 +271,13 @@
 /// and there are no more in all than may be.
 void fleet_scheduler::drop_lesser_rooms(worker_view& where, uint32_t priority,
                                         room_look& look) {
-  look.made.all -= std::erase_if(
-      where.kept, [&](const auto& kept) { return !binds(kept, priority); });
+  look.made.all -= std::erase_if(where.reservations, [&](const auto& kept) {
+    return !binds(kept, priority);
+  });
   while (look.made.all >= look.most) {
     const auto room = lesser_room(priority);
     if (!room) return;
-    auto& kept = room->where->kept;
+    auto& kept = room->where->reservations;
     kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(room->at));
     --look.made.all;
   }
@@ -344,9 +346,9 @@
       std::max<size_t>(1, settings_.most_worker_looks / std::max<size_t>(1, n));
   out.all = drop_rooms();
   std::map<task_key, uint32_t> have;
-  workers_.marks().with_rooms.review([&](const worker_view& it) {
-    for (const kept_room& room : it.kept) ++have[room.step];
-    return !it.kept.empty();
+  workers_.groups().with_reservations.retain_if([&](const worker_view& it) {
+    for (const capacity_reservation& room : it.reservations) ++have[room.step];
+    return !it.reservations.empty();
   });
   milliseconds longest{0};
   const std::vector<long_wait> waits = long_waits(settings_.keep_after);
@@ -377,10 +379,10 @@
                                 std::vector<worker_ways>& workers,
                                 room_look& look) {
   const fleet::step_spec& spec = step.spec;
-  workers_.marks().with_rooms.add(*it.where);
-  it.where->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
-                            spec.accelerators(),
-                            clock_.now() + settings_.keep_for});
+  workers_.groups().with_reservations.add(*it.where);
+  it.where->reservations.push_back({step.first, spec.cpu_milli(),
+                                    spec.memory_mb(), spec.accelerators(),
+                                    clock_.now() + settings_.keep_for});
   ++look.made.all;
   ++look.made.kept;
   for (const run_key& run : it.stops) {
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -152,7 +152,7 @@
   test_clock clock;
   metrics_registry metrics;
   intake_settings settings;
-  beat_intake intake{settings, clock, metrics};
+  heartbeat_intake intake{settings, clock, metrics};
   std::map<std::string, fleet::worker_beat> calls;
   std::map<std::string, fleet::fleet_response> told;
 
@@ -173,7 +173,7 @@
     it.set_worker(beat.worker());
     it.set_sequence(beat.sequence());
     it.mutable_response()->mutable_orders()->set_hold_ms(6'000);
-    intake.answered(all);
+    intake.handle_answers(all);
   }
   /// The leader takes so long over each of its answers.
   void serve(int rounds, milliseconds delay) {
@@ -195,9 +195,9 @@
 TEST(held_back_calls, leader_that_answers_late_gets_fewer_at_once) {
   serve(20, milliseconds(700));
   for (int n = 0; n < 200; ++n) call("w" + std::to_string(n));
-  LONGS_EQUAL(settings.least_window, intake.collect("L").beats_size());
+  LONGS_EQUAL(settings.min_window, intake.collect("L").beats_size());
   // Those of a worker that leaves are not held back behind others.
-  CHECK_FALSE(intake.has_news());
+  CHECK_FALSE(intake.has_pending_calls());
 }
 
 TEST(held_back_calls, each_worker_has_its_turn) {
@@ -221,7 +221,7 @@
   call("leaves", true);
   const int passed = intake.collect("L").beats_size();
   told.clear();
-  clock.advance(settings.come_again_after);
+  clock.advance(settings.put_off_after);
   intake.expire();
   LONGS_EQUAL(201 - passed, told.size());
   for (const auto& [worker, it] : told) {
--- a/fleet/late-intake-test.cc
+++ b/fleet/late-intake-test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// A worker calls three times in its lease, whatever the load.
-constexpr milliseconds most_unread = longest_hold / 3;
+constexpr milliseconds most_unread = max_lease_duration / 3;
 
 struct row {
   const char* name;
@@ -51,7 +51,8 @@
       {"calls are late", milliseconds(0), milliseconds(850)},
       {"three of four", milliseconds(500), milliseconds(0), 3},
       // Nobody is better off elsewhere: a turn each within the lease.
-      {"all of them", milliseconds(500), milliseconds(0), 4, longest_hold},
+      {"all of them", milliseconds(500), milliseconds(0), 4,
+       max_lease_duration},
   };
   for (const row& it : rows) {
     const busy::outcome out = play(it);
--- a/fleet/leader-lag.h
+++ b/fleet/leader-lag.h
@@ -16,7 +16,7 @@
   milliseconds behind_from{150};
   /// They are done so much less often at most: workers that call each 200 ms
   /// then call each 800 ms, below the least time that shows a life
-  /// (`sure_life`) and an eighth of a lease.
+  /// (`incarnation_proof_time`) and an eighth of a lease.
   unsigned most_stretch_percent = 400;
 };
 
--- a/fleet/log-command.cc
+++ b/fleet/log-command.cc
@@ -21,7 +21,7 @@
   if (!command.ParseFromString(entry.payload())) {
     return absl::DataLossError("the entry can't be read");
   }
-  if (!is_known(command)) {
+  if (!is_supported_command(command)) {
     return absl::DataLossError("the entry is of a kind not known here");
   }
   return std::optional(std::move(command));
--- a/fleet/other-writer-test.cc
+++ b/fleet/other-writer-test.cc
@@ -165,7 +165,7 @@
   for (const row& it : rows) {
     test_clock clock;
     metrics_registry metrics;
-    beat_intake intake({}, clock, metrics);
+    heartbeat_intake intake({}, clock, metrics);
     fleet::worker_beat beat;
     beat.set_worker("i-1");
     beat.set_born(born);
@@ -187,12 +187,12 @@
     fleet::beat_answers from_leader;
     for (const fleet::worker_beat& passed_on : batch.beats()) {
       fleet::beat_answer& answer = *from_leader.add_answers();
-      answer.set_worker(life_of(passed_on).str());
+      answer.set_worker(incarnation_of(passed_on).str());
       answer.set_sequence(passed_on.sequence());
       answer.mutable_response()->mutable_orders()->set_hold_ms(
           passed_on.sequence() == 7 && passed_on.born() == born ? 1 : 2);
     }
-    intake.answered(from_leader);
+    intake.handle_answers(from_leader);
     LONGS_EQUAL_TEXT(1, answers, it.name);
     LONGS_EQUAL_TEXT(1, told.orders().hold_ms(), it.name);
   }
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -73,7 +73,7 @@
     const fleet::step_spec* step = book_.find_step(run.task);
     // Below 100 percent the task is still starting and tells nothing yet.
     if (step == nullptr || step->target_ms() <= 0 || row.reading() <= 0 ||
-        row.percent() < full_pace) {
+        row.percent() < full_pace_percent) {
       continue;
     }
     const double tail_share = row.reading() / step->target_ms();
@@ -106,7 +106,7 @@
   std::vector<image_use> use;
   use.reserve(fills.size());
   for (const fill_task& fill : fills) use.push_back({fill.image, fill.use});
-  std::erase_if(it.excess,
+  std::erase_if(it.load_excess,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const serving_task& task : serving) learn(it, task, use);
   for (const serving_task& task : serving) hold_back(it, task, fills);
@@ -115,7 +115,7 @@
   it.pace.clear();
   for (const fill_task& fill : fills) {
     const double percent =
-        std::floor(fill.share * full_pace / detail::pace_step) *
+        std::floor(fill.share * full_pace_percent / detail::pace_step) *
         detail::pace_step;
     it.pace[fill.run] = static_cast<unsigned>(percent);
   }
@@ -125,19 +125,21 @@
 void fleet_scheduler::guard(worker_view& it,
                             const std::vector<serving_task>& serving,
                             std::vector<fill_task>& fills) {
-  std::erase_if(it.over_since,
+  std::erase_if(it.over_target_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   bool stop = false;
   for (const serving_task& task : serving) {
-    const auto since = it.over_since.find(task.run);
-    if (since == it.over_since.end()) {
-      if (task.tail_share > 1) it.over_since[task.run] = it.heard;
+    const auto since = it.over_target_since.find(task.run);
+    if (since == it.over_target_since.end()) {
+      if (task.tail_share > 1)
+        it.over_target_since[task.run] = it.last_timely_heartbeat_at;
       continue;
     }
-    const bool long_over = it.heard - since->second >= detail::guard_after;
+    const bool long_over =
+        it.last_timely_heartbeat_at - since->second >= detail::guard_after;
     const double until = long_over ? detail::guard_until : 1;
     if (task.tail_share * until <= 1) {
-      it.over_since.erase(since);
+      it.over_target_since.erase(since);
     } else if (long_over) {
       stop = true;
     }
@@ -148,26 +150,29 @@
 
 void fleet_scheduler::note_held(worker_view& it,
                                 const std::vector<fill_task>& fills) {
-  std::erase_if(it.held_since,
+  std::erase_if(it.throttled_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const fill_task& fill : fills) {
     if (fill.share < detail::held_share) {
-      workers_.marks().held_back.add(it);
-      const auto since = it.held_since.try_emplace(fill.run, it.heard).first;
-      if (it.heard - since->second >= detail::move_after) {
-        it.unfit_until[fill.image] = it.heard + detail::unfit_time;
+      workers_.groups().held_back.add(it);
+      const auto since =
+          it.throttled_since.try_emplace(fill.run, it.last_timely_heartbeat_at)
+              .first;
+      if (it.last_timely_heartbeat_at - since->second >= detail::move_after) {
+        it.image_barred_until[fill.image] =
+            it.last_timely_heartbeat_at + detail::unfit_time;
       }
     } else if (fill.share >= detail::free_share) {
-      it.held_since.erase(fill.run);
+      it.throttled_since.erase(fill.run);
     }
   }
 }
 
 bool fleet_scheduler::may_move(const worker_view& it,
                                const run_key& run) const {
-  const auto since = it.held_since.find(run);
-  if (since == it.held_since.end()) return false;
-  const milliseconds held = it.heard - since->second;
+  const auto since = it.throttled_since.find(run);
+  if (since == it.throttled_since.end()) return false;
+  const milliseconds held = it.last_timely_heartbeat_at - since->second;
   if (held < detail::move_after) return false;
   const auto row = it.rows.find(run);
   const fleet::step_spec* step = book_.find_step(run.task);
@@ -192,7 +197,8 @@
     best = *value;
   }
   if (it == nullptr || it == &from) return nullptr;
-  const milliseconds held = from.heard - from.held_since.at(run);
+  const milliseconds held =
+      from.last_timely_heartbeat_at - from.throttled_since.at(run);
   const double wanted = held >= detail::move_anyway_after ? detail::fair_share
                                                           : detail::good_share;
   return expected_share(*it, step) >= wanted ? it : nullptr;
@@ -204,12 +210,13 @@
   std::vector<run_key> runs;
   std::vector<worker_view*> all;
   size_t looks = 0;
-  worker_set& held_back = workers_.marks().held_back;
-  held_back.review([](const auto& it) { return !it.held_since.empty(); });
-  for (worker_view* held : held_back.from(moves_from_)) {
+  worker_set& held_back = workers_.groups().held_back;
+  held_back.retain_if(
+      [](const auto& it) { return !it.throttled_since.empty(); });
+  for (worker_view* held : held_back.starting_after(moves_from_)) {
     worker_view& from = *held;
     moves_from_ = from.ordinal;
-    for (const auto& [run, since] : from.held_since) {
+    for (const auto& [run, since] : from.throttled_since) {
       if (!may_move(from, run)) continue;
       if (runs.size() >= detail::most_moves) return runs;
       if (++looks > detail::most_looks) return runs;
@@ -217,12 +224,13 @@
       worker_view* place = better_place(from, run, all);
       const fleet::step_spec& spec = *book_.find_step(run.task);
       const bool requeue =
-          spec.saves_progress() && from.heard - since >= detail::requeue_after;
+          spec.saves_progress() &&
+          from.last_timely_heartbeat_at - since >= detail::requeue_after;
       if (place == nullptr && !requeue) continue;
       if (place != nullptr) {
         place->load.add(run.task, spec, model_.id_of(spec.image()));
         // Nothing is proposed for it yet.
-        place->load_is_old = true;
+        place->load_is_stale = true;
       }
       runs.push_back(run);
     }
@@ -244,11 +252,11 @@
                             const std::vector<image_use>& use) {
   load_forecast& forecast = forecasts_[detail::step_key(task.run.task)];
   const image_id image = task.image;
-  const time_point read_at = it.heard - detail::reading_age;
+  const time_point read_at = it.last_timely_heartbeat_at - detail::reading_age;
   if (forecast.known()) {
     const double expected = forecast.at(read_at);
     const double modelled = expected * (1 + added(image, use));
-    double& excess = it.excess[task.run];
+    double& excess = it.load_excess[task.run];
     excess += detail::excess_weight * (task.load - modelled - excess);
     model_.observe(image, task.load / expected - 1, use);
   }
@@ -271,8 +279,8 @@
 void fleet_scheduler::hold_back(const worker_view& it, const serving_task& task,
                                 std::vector<fill_task>& fills) {
   const image_id image = task.image;
-  const auto known = it.excess.find(task.run);
-  const double excess = known == it.excess.end() ? 0 : known->second;
+  const auto known = it.load_excess.find(task.run);
+  const double excess = known == it.load_excess.end() ? 0 : known->second;
   const double spare = most_load - std::clamp(excess - detail::excess_noise,
                                               0.0, detail::most_excess);
   const double own = own_load(task.run.task, detail::order_age);
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -158,8 +158,8 @@
   for (const placement& it : placed) {
     report_late_start(it, step.spec.long_running());
     proposed_[it.task] = it.where->id;
-    it.where->proposed[{it.task, it.run}] = step.spec;
-    workers_.marks().proposing.add(*it.where);
+    it.where->proposed_starts[{it.task, it.run}] = step.spec;
+    workers_.groups().proposing.add(*it.where);
     fleet::run_start& start = *out.add_starts();
     *start.mutable_task() = to_ref(it.task);
     start.set_run(static_cast<uint32_t>(it.run.value()));
--- a/fleet/queue-map.cc
+++ b/fleet/queue-map.cc
@@ -7,8 +7,8 @@
 
 namespace kestrelreel {
 
-bool is_under(const fleet::queue_route& queue, std::string_view host,
-              std::string_view path) {
+bool matches_queue(const fleet::queue_route& queue, std::string_view host,
+                   std::string_view path) {
   return queue.host() == host.substr(0, host.find(':')) &&
          path.starts_with(queue.path_prefix());
 }
@@ -18,7 +18,7 @@
                                       std::string_view path) {
   const fleet::queue_route* best = nullptr;
   for (const fleet::queue_route& it : config.queues()) {
-    if (!is_under(it, host, path)) continue;
+    if (!matches_queue(it, host, path)) continue;
     const bool longer =
         best == nullptr || it.path_prefix().size() > best->path_prefix().size();
     if (longer) best = &it;
@@ -29,19 +29,19 @@
 absl::Status check_config(const fleet::fleet_config& config) {
   std::set<std::string> pools;
   for (const fleet::worker_pool& it : config.pools()) pools.insert(it.name());
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> addresses;
   std::set<std::string> names;
   for (const fleet::queue_route& it : config.queues()) {
-    const auto fault = [&](std::string_view what) {
+    const auto error = [&](std::string_view what) {
       return absl::InvalidArgumentError(
           str_cat("queue '", it.name(), "' ", what));
     };
-    if (!pools.contains(it.pool())) return fault("names an unknown pool");
-    if (it.timeout_ms() == 0) return fault("has a time limit of 0");
-    if (!places.emplace(it.host(), it.path_prefix()).second) {
-      return fault("stands at the host and prefix of another queue");
+    if (!pools.contains(it.pool())) return error("names an unknown pool");
+    if (it.timeout_ms() == 0) return error("has a time limit of 0");
+    if (!addresses.emplace(it.host(), it.path_prefix()).second) {
+      return error("stands at the host and prefix of another queue");
     }
-    if (!names.insert(it.name()).second) return fault("stands twice");
+    if (!names.insert(it.name()).second) return error("stands twice");
   }
   if (config.version() == 0) {
     return absl::InvalidArgumentError("the version is missing");
@@ -50,8 +50,8 @@
 }
 
 absl::Status check_job(const fleet::fleet_job_spec& spec) {
-  // Bounds what one job can take of the memory.
-  constexpr uint64_t most_tasks = 20'000;
+  // Limits the memory that a job can use.
+  constexpr uint64_t max_tasks = 20'000;
   if (spec.steps_size() == 0) {
     return absl::InvalidArgumentError("the job has no step");
   }
@@ -69,9 +69,9 @@
     }
   }
   const uint64_t times = spec.times() == 0 ? 1 : spec.times();
-  if (tasks > most_tasks || times > most_tasks || tasks * times > most_tasks) {
+  if (tasks > max_tasks || times > max_tasks || tasks * times > max_tasks) {
     return absl::InvalidArgumentError(
-        str_cat("the job has more than ", most_tasks, " tasks"));
+        str_cat("the job has more than ", max_tasks, " tasks"));
   }
   return absl::OkStatus();
 }
--- a/fleet/queue-map.h
+++ b/fleet/queue-map.h
@@ -1,4 +1,4 @@
-// Which queue a caller's address leads to, and what a configuration must be.
+// Maps a caller's address to a queue, and validates configurations and jobs.
 #pragma once
 
 #include <string>
@@ -9,21 +9,23 @@
 
 namespace kestrelreel {
 
-/// True when a call to that host and path is for this queue or a longer prefix.
-bool is_under(const fleet::queue_route& queue, std::string_view host,
-              std::string_view path);
-/// The queue of that host with the longest prefix that `path` begins with;
-/// null without one. A port after the host's name is passed over.
+/// True when the queue's host and path prefix match a call's host and path; a
+/// queue with a longer prefix may match too.
+bool matches_queue(const fleet::queue_route& queue, std::string_view host,
+                   std::string_view path);
+/// Returns the queue of `host` with the longest prefix of `path`, or null.
+/// Ignores a port after the host name.
 const fleet::queue_route* match_queue(const fleet::fleet_config& config,
                                       std::string_view host,
                                       std::string_view path);
 
-/// Fails with the first fault of a configuration that may not be in force: a
-/// queue of an unknown pool, two queues at one place, a time limit of 0.
+/// Fails with the first error of an invalid configuration: a queue of an
+/// unknown pool, two queues with the same name or the same host and prefix, a
+/// time limit of 0, a missing version.
 absl::Status check_config(const fleet::fleet_config& config);
 
-/// Fails with the first fault of a job: no step, a step without tasks, or one
-/// that depends on itself or a later one.
+/// Fails with the first error of an invalid job: no step, a step without tasks
+/// or one that depends on itself or a later step, too many tasks.
 absl::Status check_job(const fleet::fleet_job_spec& spec);
 
 }  // namespace kestrelreel
--- a/fleet/restarted-leave-test.cc
+++ b/fleet/restarted-leave-test.cc
@@ -56,10 +56,10 @@
   leave.set_worker_leaves(id);
   leave.set_leaver_born(first_born);
   LONGS_EQUAL(fleet::fleet_ok, all.ask(leave).status());
-  CHECK_FALSE(all.book().left().contains(life_of(id, second_born)));
+  CHECK_FALSE(all.book().left().contains(incarnation_of(id, second_born)));
   leave.set_leaver_born(second_born);
   LONGS_EQUAL(fleet::fleet_ok, all.ask(leave).status());
-  CHECK_TRUE(all.book().left().contains(life_of(id, second_born)));
+  CHECK_TRUE(all.book().left().contains(incarnation_of(id, second_born)));
 }
 
 // Its acknowledgement was lost, so that it comes once more when the life is
--- a/fleet/restarted-worker-test.cc
+++ b/fleet/restarted-worker-test.cc
@@ -69,7 +69,8 @@
     submit(all, 4, 6);
     second.call_for(milliseconds(400));
     LONGS_EQUAL_TEXT(4, second.runs_of(4), it.name);
-    for (const run_key& run : all.book().runs_on(life_of(id, first_born))) {
+    for (const run_key& run :
+         all.book().runs_on(incarnation_of(id, first_born))) {
       CHECK_TRUE_TEXT(run.task.job.value() != 4, it.name);
     }
   }
@@ -142,7 +143,7 @@
 TEST(restarted_worker, answer_to_the_earlier_life_goes_to_no_later_one) {
   boxes all;
   metrics_registry metrics;
-  beat_intake intake({}, all.clock, metrics);
+  heartbeat_intake intake({}, all.clock, metrics);
   fleet::worker_beat beat;
   beat.set_worker(id);
   beat.set_sequence(3);
@@ -159,7 +160,7 @@
   beat.set_born(second_born);
   int asked = 0;
   intake.take(beat, [&](fleet::fleet_response) { ++asked; });
-  intake.answered(answers);
+  intake.handle_answers(answers);
   LONGS_EQUAL(0, asked);
 }
 
@@ -191,10 +192,10 @@
       {"i-1", 1'768'000'001'918, "i-1#1768000001918"},
   };
   for (const named& it : table) {
-    const worker_id life = life_of(it.name, it.born);
+    const worker_id life = incarnation_of(it.name, it.born);
     STRCMP_EQUAL(it.life, life.str().c_str());
-    STRCMP_EQUAL(it.name, name_of(life).c_str());
-    CHECK_TRUE_TEXT(it.born == born_of(life), it.life);
+    STRCMP_EQUAL(it.name, worker_name_of(life).c_str());
+    CHECK_TRUE_TEXT(it.born == start_time_of(life), it.life);
   }
 }
 
--- a/fleet/saved-book-test.cc
+++ b/fleet/saved-book-test.cc
@@ -71,12 +71,12 @@
 
 TEST(saved_book, command_of_a_later_version_is_not_known) {
   fleet::fleet_command command;
-  CHECK_FALSE(is_known(command));
+  CHECK_FALSE(is_supported_command(command));
   command.mutable_cancel()->add_jobs(7);
-  CHECK_TRUE(is_known(command));
+  CHECK_TRUE(is_supported_command(command));
   fleet::fleet_command batch;
   *batch.mutable_batch()->add_commands() = command;
-  CHECK_TRUE(is_known(batch));
+  CHECK_TRUE(is_supported_command(batch));
   batch.mutable_batch()->add_commands();
-  CHECK_FALSE(is_known(batch));
+  CHECK_FALSE(is_supported_command(batch));
 }
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -44,7 +44,7 @@
     const fleet::step_spec* step = book_.find_step(run.task);
     if (step != nullptr) add(run.task, *step);
   }
-  for (const auto& [run, step] : it.proposed) add(run.task, step);
+  for (const auto& [run, step] : it.proposed_starts) add(run.task, step);
   if (!it.lists_unrecorded) return load;
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
@@ -57,13 +57,14 @@
 /// The first reason for which the worker gets no new work; null for none.
 const char* fleet_scheduler::ruled_out_by(const worker_view& it) const {
   const time_point now = clock_.now();
-  if (!it.known) return "unheard";
-  if (it.over || it.doubtful) return "another-life";
-  if (it.leaves || it.beat.draining()) return "leaving";
+  if (!it.has_heartbeat) return "unheard";
+  if (it.loss_proposed || it.superseded) return "another-life";
+  if (it.is_leaving || it.beat.draining()) return "leaving";
   if (is_evacuated(it)) return "evacuated";
   if (it.avoided_until > now) return "avoided";
-  if (it.heard <= it.taken_back_at) return "taken-back";
-  const time_point silent_at = it.heard + settings_.silent_limit;
+  if (it.last_timely_heartbeat_at <= it.starts_recalled_at) return "taken-back";
+  const time_point silent_at =
+      it.last_timely_heartbeat_at + settings_.silent_limit;
   if (now >= std::max(silent_at, it.overdue_at())) return "silent";
   return nullptr;
 }
@@ -80,7 +81,7 @@
   std::vector<worker_view*> all;
   for (auto& [id, it] : workers_.views()) {
     if (!is_usable(it)) continue;
-    if (std::exchange(it.load_is_old, false)) it.load = load_of(it);
+    if (std::exchange(it.load_is_stale, false)) it.load = load_of(it);
     all.push_back(&it);
   }
   return all;
@@ -88,7 +89,7 @@
 
 bool fleet_scheduler::is_open(const worker_view& it) const {
   return it.respond &&
-         clock_.now() - it.asked + it.delay < settings_.open_limit;
+         clock_.now() - it.call_received_at + it.delay < settings_.open_limit;
 }
 
 /// Where the present plan may place tasks.
@@ -101,10 +102,10 @@
 /// Workers whose call is held, those first that were heard last.
 std::vector<worker_view*> fleet_scheduler::open_places() {
   std::vector<worker_view*> all =
-      workers_.marks().held_calls.last(settings_.most_open_places);
+      workers_.groups().held_calls.last(settings_.most_open_places);
   std::erase_if(all, [&](worker_view* it) {
     if (!is_usable(*it) || !is_open(*it)) return true;
-    if (std::exchange(it->load_is_old, false)) it->load = load_of(*it);
+    if (std::exchange(it->load_is_stale, false)) it->load = load_of(*it);
     return false;
   });
   return all;
@@ -160,7 +161,7 @@
       due = true;
       const task_key first{number, time, step, 0};
       open = open ||
-             (book_.step_is_due(job, time, step) &&
+             (book_.dependencies_done(job, time, step) &&
               (may_try(first) ||
                may_fit_where_freed(job.spec.steps(static_cast<int>(step)))));
     }
@@ -193,9 +194,10 @@
   wall_ms_ = wall_ms;
   wall_told_at_ = clock_.now();
   proposed_.clear();
-  workers_.marks().proposing.review([this](worker_view& it) {
-    for (const auto& [run, step] : it.proposed) proposed_[run.task] = it.id;
-    return !it.proposed.empty();
+  workers_.groups().proposing.retain_if([this](worker_view& it) {
+    for (const auto& [run, step] : it.proposed_starts)
+      proposed_[run.task] = it.id;
+    return !it.proposed_starts.empty();
   });
   note_tries();
   fleet::run_starts out;
@@ -239,7 +241,7 @@
     for (uint32_t step = 0; step < steps.size(); ++step) {
       const step_entry& it = steps[step];
       if (it.done + it.running >= it.tasks.size()) continue;
-      if (!book_.step_is_due(*job.entry, time, step)) continue;
+      if (!book_.dependencies_done(*job.entry, time, step)) continue;
       plan_step(job, time, step, all, out);
     }
   }
@@ -256,7 +258,7 @@
   const auto capacity = static_cast<int64_t>(it.beat.cpu_milli());
   return capacity - use(it.load.cpu - it.load.serving_cpu, detail::percent) -
          use(it.load.serving_cpu, settings_.serving_use_percent) -
-         use(it.load.fill_cpu, detail::percent);
+         use(it.load.backfill_cpu, detail::percent);
 }
 
 /// Room that is kept counts, unless for the step itself or a less urgent one:
@@ -277,7 +279,7 @@
   // A task that crashed the life before would crash this one, before it shows
   // that the other is over.
   if (workers_.is_unsettled(it) && has_interrupted(step.first)) return false;
-  for (const kept_room& kept : it.kept) {
+  for (const capacity_reservation& kept : it.reservations) {
     if (kept.step == step.first || !binds(kept, step.priority)) continue;
     taken.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
@@ -289,8 +291,8 @@
 /// True where a fill task would get on.
 bool fleet_scheduler::bears(const worker_view& it,
                             const step_to_place& step) const {
-  const auto unfit = it.unfit_until.find(step.image);
-  if (unfit != it.unfit_until.end() && unfit->second > clock_.now()) {
+  const auto unfit = it.image_barred_until.find(step.image);
+  if (unfit != it.image_barred_until.end() && unfit->second > clock_.now()) {
     return false;
   }
   const auto wanted = static_cast<int64_t>(
@@ -317,7 +319,7 @@
                               const step_to_place& step) const {
   const fleet::step_spec& spec = step.spec;
   double score = static_cast<double>(left_over(it));
-  score -= detail::crowd_cost * it.load.of_step(step.first);
+  score -= detail::crowd_cost * it.load.tasks_of_step(step.first);
   const std::string& rack = spec.affinity_rack();
   if (!rack.empty() && has_label(it.beat, rack)) score += detail::rack_bonus;
   if (spec.fills()) {
@@ -340,7 +342,7 @@
 bool fleet_scheduler::is_cold(const worker_view& it) const {
   if (it.beat.cold_left_ms() == 0) return false;
   const milliseconds left(static_cast<int64_t>(it.beat.cold_left_ms()));
-  return clock_.now() - it.told < left;
+  return clock_.now() - it.last_heartbeat_at < left;
 }
 
 /// True where an order would go out at once, or nearly so. One whose call is
@@ -366,7 +368,7 @@
   const std::string& label = spec.requires_label();
   if (!label.empty() && !has_label(it.beat, label)) return false;
   return spec.anti_affinity() == 0 ||
-         it.load.of_step(step.first) < spec.anti_affinity();
+         it.load.tasks_of_step(step.first) < spec.anti_affinity();
 }
 
 }  // namespace kestrelreel
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -323,7 +323,7 @@
   bool may_yield(const run_key& run, uint32_t priority) const;
   double cost_of_stop(const worker_view& it, const run_key& run) const;
   uint32_t priority_of(const task_key& step) const;
-  bool binds(const kept_room& kept, uint32_t priority) const;
+  bool binds(const capacity_reservation& kept, uint32_t priority) const;
   gain shortage(const worker_view& it, const step_to_place& step) const;
   std::vector<way_out> ways_out(const worker_view& it, uint32_t priority,
                                 const std::set<run_key>& stopping) const;
--- a/fleet/slow-test-parts.h
+++ b/fleet/slow-test-parts.h
@@ -20,7 +20,7 @@
 constexpr milliseconds quick{30};
 constexpr int boxes = 3;
 constexpr int places = 8;
-constexpr uint64_t worker_room = 4;
+constexpr uint64_t worker_capacity = 4;
 /// When the world began, in ms since 1970.
 constexpr uint64_t first_born = 1'768'000'000'000;
 
@@ -106,7 +106,7 @@
 struct box {
   std::unique_ptr<box_log> log;
   std::unique_ptr<fleet_controller> controller;
-  std::unique_ptr<beat_intake> intake;
+  std::unique_ptr<heartbeat_intake> intake;
   int told_leader = -1;
   std::vector<passed_batch> batches;
   std::vector<passed_answer> replies;
@@ -163,7 +163,7 @@
     const milliseconds left = *it.leaves_at - now;
     beat.set_remaining_ms(static_cast<uint64_t>(left.count()));
   }
-  beat.set_cpu_milli(worker_room * 1'000);
+  beat.set_cpu_milli(worker_capacity * 1'000);
   beat.set_memory_mb(10'000);
   for (const auto& [run, ends] : it.runs) {
     fleet::running_row& row = *beat.add_running();
@@ -180,7 +180,7 @@
     if (reply.arrives > now) return false;
     fleet::beat_answers one;
     *one.add_answers() = reply.answer;
-    it.intake->answered(one);
+    it.intake->handle_answers(one);
     return true;
   });
 }
--- a/fleet/slow-test-world.h
+++ b/fleet/slow-test-world.h
@@ -20,8 +20,8 @@
       it.log = std::make_unique<box_log>(*this, i);
       it.controller = std::make_unique<fleet_controller>(
           test_world::make_settings(), clock_, *it.log, metrics_);
-      it.intake =
-          std::make_unique<beat_intake>(intake_settings(), clock_, metrics_);
+      it.intake = std::make_unique<heartbeat_intake>(intake_settings(), clock_,
+                                                     metrics_);
     }
     for (int i = 0; i < places; ++i) {
       machine& it = machines_.emplace_back();
@@ -223,7 +223,7 @@
       it.intake->leader_changed();
     }
     it.intake->expire();
-    if (leader_ < 0 || !it.intake->has_news()) return;
+    if (leader_ < 0 || !it.intake->has_pending_calls()) return;
     boxes_[leader_].batches.push_back(
         {clock_.now() + (leader_ == b ? milliseconds(0) : delay()), b,
          it.intake->collect(std::to_string(leader_))});
@@ -363,7 +363,7 @@
       }
     }
     fail(ends_.start(run.task));
-    if (it.runs.size() >= worker_room) fail(it.id + " is over its room");
+    if (it.runs.size() >= worker_capacity) fail(it.id + " is over its room");
     it.runs[run] =
         clock_.now() + milliseconds(100) + chance_.up_to(milliseconds(3'000));
   }
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -23,7 +23,7 @@
 
 /// True when a run there may still turn out to crash the worker.
 bool fleet_scheduler::has_unproven(const worker_view& it) const {
-  if (!it.proposed.empty()) return true;
+  if (!it.proposed_starts.empty()) return true;
   const auto& runs = book_.runs_on(it.id);
   return std::any_of(runs.begin(), runs.end(), [&](const run_key& run) {
     const fleet::step_spec* step = book_.find_step(run.task);
@@ -34,7 +34,7 @@
 /// Notes the workers on which a suspect was started and is not listed yet.
 void fleet_scheduler::note_tries() {
   for (const worker_id& id : trying_) {
-    if (worker_view* it = workers_.find(id)) it->tries.reset();
+    if (worker_view* it = workers_.find(id)) it->trial_step.reset();
   }
   trying_.clear();
   for (const task_key& suspect : book_.suspects()) {
@@ -61,7 +61,7 @@
 void fleet_scheduler::note_try(const worker_id& id, const task_key& task) {
   worker_view* it = workers_.find(id);
   if (it == nullptr) return;
-  it->tries = {task.job, task.time, task.step, 0};
+  it->trial_step = {task.job, task.time, task.step, 0};
   trying_.push_back(id);
 }
 
@@ -78,13 +78,13 @@
                                   const task_entry& task) const {
   const worker_view* it = workers_.find(task.worker);
   return it != nullptr && it->lapsed.contains({key, task.run}) &&
-         clock_.now() < it->over_at + detail::fate_wait;
+         clock_.now() < it->lease_expires_at + detail::fate_wait;
 }
 
 /// True where a suspect is being tried, unless both are of one gang.
 bool fleet_scheduler::is_trying(const worker_view& it,
                                 const step_to_place& step) {
-  return it.tries && !(step.spec.gang() && *it.tries == step.first);
+  return it.trial_step && !(step.spec.gang() && *it.trial_step == step.first);
 }
 
 /// How well a suspect would stand on a worker; none where it must not run, or
@@ -97,7 +97,7 @@
   *value -= detail::company_cost * static_cast<double>(it.rows.size());
   // What runs there is looked at only where it may decide.
   if (least && *value <= *least) return std::nullopt;
-  if (has_unproven(it) && it.tries != step.first) {
+  if (has_unproven(it) && it.trial_step != step.first) {
     *value -= detail::unproven_cost;
   }
   if (least && *value <= *least) return std::nullopt;
--- a/fleet/task-key.cc
+++ b/fleet/task-key.cc
@@ -5,8 +5,8 @@
 namespace kestrelreel {
 namespace detail {
 
-/// Runs named in one log line, so that lines stay short.
-constexpr size_t most_named = 32;
+/// Maximum number of runs in one log line, which bounds the line's length.
+constexpr size_t max_listed_runs = 32;
 
 }  // namespace detail
 
@@ -39,7 +39,7 @@
 std::string to_text(const std::vector<run_key>& runs) {
   std::string out;
   for (size_t i = 0; i < runs.size(); ++i) {
-    if (i == detail::most_named) return str_cat(out, ",...");
+    if (i == detail::max_listed_runs) return str_cat(out, ",...");
     str_append(out, out.empty() ? "" : ",", to_text(runs[i]));
   }
   return out;
--- a/fleet/task-key.h
+++ b/fleet/task-key.h
@@ -1,4 +1,4 @@
-// The name of one task of a job of steps, and of one run of it.
+// Identifiers of a task in a job of steps, and of a run of the task.
 #pragma once
 
 #include <compare>
@@ -14,10 +14,11 @@
 
 /// The identity of a job, chosen by the caller.
 using job_number = strong_count<struct job_number_tag>;
-/// Which start of a task it is; the first has 1.
+/// Number of a start of a task; the first is 1.
 using run_number = strong_count<struct run_number_tag>;
 
-/// One task: a job's step is run `times` over, each time with `count` tasks.
+/// Identifies a task: a job's steps are repeated `times` times, each step with
+/// `count` tasks.
 struct task_key {
   job_number job;
   uint32_t time = 0;
@@ -26,24 +27,24 @@
   auto operator<=>(const task_key&) const = default;
 };
 
-/// One run of a task.
+/// Identifies a run of a task.
 struct run_key {
   task_key task;
   run_number run;
   auto operator<=>(const run_key&) const = default;
 };
 
-/// The key of a message's task, and the message of a key.
+/// Converts between a message's task and a key.
 task_key to_key(const fleet::task_ref& ref);
 fleet::task_ref to_ref(const task_key& key);
-/// The job as logs show it: 16 hex digits.
+/// Formats a job for logs: 16 hex digits.
 std::string to_text(job_number job);
-/// The task as logs show it: `JOB.TIME.STEP.INDEX`.
+/// Formats a task for logs: `JOB.TIME.STEP.INDEX`.
 std::string to_text(const task_key& key);
-/// The run as logs show it: `TASK/RUN`.
+/// Formats a run for logs: `TASK/RUN`.
 std::string to_text(const run_key& run);
-/// The runs as one value of a log line, such as `TASK/1,TASK/2`; a long list is
-/// cut off.
+/// Formats runs as one value of a log line, such as `TASK/1,TASK/2`; truncates
+/// long lists.
 std::string to_text(const std::vector<run_key>& runs);
 
 }  // namespace kestrelreel
--- a/fleet/waiting-steps.cc
+++ b/fleet/waiting-steps.cc
@@ -52,10 +52,10 @@
 std::vector<worker_view*> fleet_scheduler::take_freed() {
   std::vector<worker_view*> out;
   freed_most_ = {};
-  workers_.marks().freed.review([&](worker_view& it) {
+  workers_.groups().freed.retain_if([&](worker_view& it) {
     if (!std::exchange(it.freed, false) || !is_usable(it)) return false;
     if (only_open_ && !is_open(it)) return false;
-    if (std::exchange(it.load_is_old, false)) it.load = load_of(it);
+    if (std::exchange(it.load_is_stale, false)) it.load = load_of(it);
     const auto rest = [](uint64_t all, uint64_t taken) {
       return all - std::min(all, taken);
     };
--- a/fleet/waits.cc
+++ b/fleet/waits.cc
@@ -52,7 +52,7 @@
                                 std::vector<long_wait>& out) const {
   const auto& spec = job.spec.steps(static_cast<int>(first.step));
   if (!spec.long_running() || spec.gang()) return;
-  if (!book_.step_is_due(job, first.time, first.step)) return;
+  if (!book_.dependencies_done(job, first.time, first.step)) return;
   const uint32_t priority = book_.queue_of(job).priority();
   const uint32_t begun = unplaced(first, false);
   const uint32_t all = unplaced(first, true);
@@ -197,7 +197,8 @@
     }
     all.cpu += it.beat.cpu_milli();
     taken.cpu += it.load.cpu;
-    for (const kept_room& room : it.kept) kept.cpu += room.cpu;
+    for (const capacity_reservation& room : it.reservations)
+      kept.cpu += room.cpu;
     for (const run_key& run : book_.runs_on(id)) {
       const fleet::step_spec* step = book_.find_step(run.task);
       if (step == nullptr || step->fills() || it.rows.contains(run)) continue;
@@ -263,18 +264,18 @@
 
 void fleet_scheduler::release_room(worker_view& where, const task_key& step) {
   const auto drop = [&](worker_view& it) {
-    const auto kept =
-        std::find_if(it.kept.begin(), it.kept.end(),
-                     [&](const kept_room& room) { return room.step == step; });
-    if (kept == it.kept.end()) return false;
-    it.kept.erase(kept);
+    const auto kept = std::find_if(
+        it.reservations.begin(), it.reservations.end(),
+        [&](const capacity_reservation& room) { return room.step == step; });
+    if (kept == it.reservations.end()) return false;
+    it.reservations.erase(kept);
     return true;
   };
   if (drop(where)) return;
   bool dropped = false;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
     dropped = dropped || drop(it);
-    return !it.kept.empty();
+    return !it.reservations.empty();
   });
 }
 
--- a/fleet/worker-leave-test.cc
+++ b/fleet/worker-leave-test.cc
@@ -56,12 +56,12 @@
   void forget_told() { intake.emplace(intake_settings{}, clock, metrics); }
   /// What the other box holds is passed on, and anew where it is asked for.
   void deliver() {
-    for (int i = 0; i < 3 && intake->has_news(); ++i) {
+    for (int i = 0; i < 3 && intake->has_pending_calls(); ++i) {
       const fleet::beat_batch batch = intake->collect("leader");
       controller.take_beats(batch, [this](const fleet::beat_answer& it) {
         fleet::beat_answers answers;
         *answers.add_answers() = it;
-        intake->answered(answers);
+        intake->handle_answers(answers);
       });
     }
   }
@@ -117,7 +117,7 @@
     return controller.book().find(job_number(7))->phase == fleet::job_succeeded;
   }
 
-  std::optional<beat_intake> intake;
+  std::optional<heartbeat_intake> intake;
   std::vector<fleet::fleet_status> leave_status;
   std::map<std::string, int> started;
   int starts_elsewhere = 0;
@@ -358,9 +358,10 @@
   constexpr int lives = 3'000;
   test_clock clock;
   worker_table table({}, clock);
-  for (int i = 0; i < lives; ++i) table.end_life(worker_id(std::to_string(i)));
-  CHECK_FALSE(table.is_over(worker_id("0")));
-  CHECK_TRUE(table.is_over(worker_id(std::to_string(lives - 1))));
+  for (int i = 0; i < lives; ++i)
+    table.end_incarnation(worker_id(std::to_string(i)));
+  CHECK_FALSE(table.is_ended(worker_id("0")));
+  CHECK_TRUE(table.is_ended(worker_id(std::to_string(lives - 1))));
   clock.advance(milliseconds(60'000));
-  CHECK_FALSE(table.is_over(worker_id(std::to_string(lives - 1))));
+  CHECK_FALSE(table.is_ended(worker_id(std::to_string(lives - 1))));
 }
--- a/fleet/worker-life-test.cc
+++ b/fleet/worker-life-test.cc
@@ -78,7 +78,7 @@
   test_log log;
   metrics_registry metrics;
   controller_settings settings = test_world::make_settings();
-  settings.leases.hold = longest_hold;
+  settings.leases.duration = max_lease_duration;
   fleet_controller controller(settings, clock, log, metrics);
   controller.leads(true);
   const auto commit = [&] {
--- a/fleet/worker-life.h
+++ b/fleet/worker-life.h
@@ -1,5 +1,5 @@
-// One life of a worker. A worker may start again under the id that it had: it
-// then knows nothing of before, and all that it counts begins anew.
+// Worker incarnations. A worker may restart under the same id: it has then lost
+// all state, and its counters restart.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,20 @@
 
 namespace kestrelreel {
 
-/// Stands between a worker's name and the birth of its life; no name holds it,
-/// as it can't stand in the path of a call.
-constexpr std::string_view birth_mark = "#";
+/// Separates a worker's name from the start time of its incarnation. No name
+/// contains the separator, as it can't occur in the path of a call.
+constexpr std::string_view incarnation_separator = "#";
 
-/// The identity of a life, `NAME#BORN`; just `NAME` where `born`, in ms since
-/// 1970, is 0: not told. Whatever is counted, granted or recorded of a worker
-/// goes by its life: by the name alone, the counts and runs of a life that is
-/// over would stand for those of the next one.
-worker_id life_of(const std::string& name, uint64_t born);
-/// The life that sent the heartbeat.
-worker_id life_of(const fleet::worker_beat& beat);
-/// The name of the life's worker.
-std::string name_of(const worker_id& life);
-/// When the life began; 0 where that was not told.
-uint64_t born_of(const worker_id& life);
+/// Identity of an incarnation: `NAME#BORN`, or `NAME` if `born`, in ms since
+/// 1970, is 0 (not reported). Counters, leases and records refer to an
+/// incarnation: by name alone, the counters and runs of an ended incarnation
+/// would be mistaken for those of the next one.
+worker_id incarnation_of(const std::string& name, uint64_t born);
+/// The incarnation that sent the heartbeat.
+worker_id incarnation_of(const fleet::worker_beat& beat);
+/// The worker name of an incarnation.
+std::string worker_name_of(const worker_id& incarnation);
+/// Start time of an incarnation in ms since 1970; 0 if not reported.
+uint64_t start_time_of(const worker_id& incarnation);
 
 }  // namespace kestrelreel
--- a/fleet/worker-load.cc
+++ b/fleet/worker-load.cc
@@ -5,7 +5,7 @@
 namespace kestrelreel {
 namespace detail {
 
-/// The entry of an image, made when there is none.
+/// Returns the entry of an image; adds one if there is none.
 template <typename Entry>
 Entry& entry_of(std::vector<Entry>& all, image_id image) {
   for (Entry& it : all) {
@@ -16,19 +16,19 @@
 
 }  // namespace detail
 
-worker_room room_of(const fleet::worker_beat& beat) {
+worker_capacity capacity_of(const fleet::worker_beat& beat) {
   return {beat.cpu_milli(), beat.memory_mb(), beat.accelerators()};
 }
 
-bool worker_load::fits_in(const worker_room& room) const {
-  return cpu <= room.cpu_milli && memory_mb <= room.memory_mb &&
-         accelerators <= room.accelerators;
+bool worker_load::fits_in(const worker_capacity& capacity) const {
+  return cpu <= capacity.cpu_milli && memory_mb <= capacity.memory_mb &&
+         accelerators <= capacity.accelerators;
 }
 
 void worker_load::add(const task_key& task, const fleet::step_spec& step,
                       image_id image) {
   if (step.fills()) {
-    fill_cpu += step.cpu_milli();
+    backfill_cpu += step.cpu_milli();
     detail::entry_of(fills, image).cpu_milli += step.cpu_milli();
   } else {
     cpu += step.cpu_milli();
@@ -48,7 +48,7 @@
   steps.push_back({first, 1});
 }
 
-uint32_t worker_load::of_step(const task_key& first) const {
+uint32_t worker_load::tasks_of_step(const task_key& first) const {
   const auto it = std::find_if(steps.begin(), steps.end(),
                                [&](const auto& s) { return s.first == first; });
   return it == steps.end() ? 0 : it->tasks;
--- a/fleet/worker-load.h
+++ b/fleet/worker-load.h
@@ -1,4 +1,4 @@
-// What is taken of one worker.
+// Capacity of a worker, and the load that its runs place on it.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,27 @@
 
 namespace kestrelreel {
 
-/// What a worker has, or what is taken of it.
-struct worker_room {
+/// Total or free capacity of a worker.
+struct worker_capacity {
   uint64_t cpu_milli = 0;
   uint64_t memory_mb = 0;
   uint64_t accelerators = 0;
 
-  bool operator==(const worker_room&) const = default;
+  bool operator==(const worker_capacity&) const = default;
 };
 
-/// The room that the worker says it has; it may shrink and grow.
-worker_room room_of(const fleet::worker_beat& beat);
+/// The capacity that a worker reports; it may shrink and grow.
+worker_capacity capacity_of(const fleet::worker_beat& beat);
 
-/// What is taken of one worker, by all runs that may be alive there. Lists, not
-/// maps: a worker holds some 20 tasks, and each step that is placed looks at
-/// all workers.
+/// Capacity used by all runs that may be alive on a worker. Uses lists instead
+/// of maps: a worker runs about 20 tasks, and placing a step scans all workers.
 struct worker_load {
-  /// Processors of tasks whose share is counted.
+  /// Processors of all tasks except backfill tasks, in thousandths.
   uint64_t cpu = 0;
-  /// The part of it that serves users of its own.
+  /// Processors of serving tasks, which have a latency target, in thousandths.
   uint64_t serving_cpu = 0;
-  /// Processors that fill tasks would use.
-  uint64_t fill_cpu = 0;
+  /// Processors that backfill tasks request, in thousandths.
+  uint64_t backfill_cpu = 0;
   uint64_t memory_mb = 0;
   uint64_t accelerators = 0;
 
@@ -47,17 +46,17 @@
     image_id image;
     uint64_t cpu_milli = 0;
   };
-  /// Tasks by job, time and step; serving tasks by image; the processors of
-  /// fill tasks by image.
+  /// Tasks by job, repetition and step; serving tasks by image; processors of
+  /// backfill tasks by image.
   std::vector<step_count> steps;
   std::vector<image_count> serving;
   std::vector<image_cpu> fills;
 
   void add(const task_key& task, const fleet::step_spec& step, image_id image);
-  /// True when no more is taken than the room.
-  bool fits_in(const worker_room& room) const;
-  /// How many tasks of that step, named by its first task, are there.
-  uint32_t of_step(const task_key& first) const;
+  /// True when the load does not exceed the capacity.
+  bool fits_in(const worker_capacity& capacity) const;
+  /// Number of tasks of a step, which is named by its first task.
+  uint32_t tasks_of_step(const task_key& first) const;
 };
 
 }  // namespace kestrelreel
--- a/fleet/worker-set.cc
+++ b/fleet/worker-set.cc
@@ -10,7 +10,7 @@
 
 void worker_set::remove(const worker_view& it) { members_.erase(it.ordinal); }
 
-std::vector<worker_view*> worker_set::from(uint64_t ordinal) const {
+std::vector<worker_view*> worker_set::starting_after(uint64_t ordinal) const {
   std::vector<worker_view*> out;
   out.reserve(members_.size());
   const auto middle = members_.upper_bound(ordinal);
@@ -68,12 +68,13 @@
   return found == members_.end() ? none : found->second;
 }
 
-worker_marks::worker_marks()
-    : held_calls(&worker_view::held_until), watched(&worker_view::watch_at) {}
+worker_groups::worker_groups()
+    : held_calls(&worker_view::held_until),
+      watched(&worker_view::silence_check_at) {}
 
-void worker_marks::remove(worker_view& it) {
-  for (worker_set* set : {&calling, &freed, &proposing, &unsent, &left,
-                          &held_back, &with_rooms}) {
+void worker_groups::remove(worker_view& it) {
+  for (worker_set* set : {&calling, &freed, &proposing, &with_unsent_starts,
+                          &left, &held_back, &with_reservations}) {
     set->remove(it);
   }
   held_calls.remove(it);
--- a/fleet/worker-set.h
+++ b/fleet/worker-set.h
@@ -1,5 +1,5 @@
-// Sets and indexes of workers, so that what concerns a few of them is not
-// looked for among all.
+// Sets and indexes of workers, so that work that concerns few workers does not
+// scan all of them.
 #pragma once
 
 #include <algorithm>
@@ -17,9 +17,9 @@
 
 struct worker_view;
 
-/// Workers that may have something in common, in the order in which they became
-/// known. Whoever brings it about adds the worker; whoever reviews the set
-/// drops those of which it holds no more.
+/// Workers that may satisfy a condition, in the order in which they became
+/// known. The code that makes the condition true adds the worker; `retain_if`
+/// drops the workers for which it no longer holds.
 class worker_set {
  public:
   void add(worker_view& it);
@@ -27,32 +27,33 @@
   void clear() { members_.clear(); }
   size_t size() const { return members_.size(); }
   /// Calls `keeps` with each member, and drops those for which it is false.
-  /// Members may be added meanwhile.
+  /// `keeps` may add members.
   template <typename Keeps>
-  void review(Keeps keeps) {
+  void retain_if(Keeps keeps) {
     for (auto at = members_.begin(); at != members_.end();) {
       at = keeps(*at->second) ? std::next(at) : members_.erase(at);
     }
   }
-  /// The members in order, those after the worker with that ordinal first.
-  std::vector<worker_view*> from(uint64_t ordinal) const;
+  /// The members in rotated order: those with a higher ordinal come first.
+  std::vector<worker_view*> starting_after(uint64_t ordinal) const;
 
  private:
   std::map<uint64_t, worker_view*> members_;
 };
 
-/// Workers by when they are due, each once.
+/// Workers by due time, each at most once.
 class worker_queue {
  public:
-  /// `due` is where a worker keeps the time; none while it is 0.
+  /// `due` is the member that holds a worker's due time; 0 while the worker is
+  /// not in the queue.
   explicit worker_queue(time_point worker_view::*due) : due_(due) {}
-  /// Due then, and at no other time.
+  /// Sets the worker's due time, and replaces the earlier one.
   void set(worker_view& it, time_point at);
   void remove(worker_view& it);
   size_t size() const { return members_.size(); }
-  /// Those that are due by then, the first one first; they stay.
+  /// The workers due by `at`, earliest first; they stay in the queue.
   std::vector<worker_view*> due_by(time_point at) const;
-  /// So many at most, those that are due last.
+  /// At most `most` workers, those with the latest due times.
   std::vector<worker_view*> last(size_t most) const;
 
  private:
@@ -60,11 +61,11 @@
   std::map<std::pair<time_point, uint64_t>, worker_view*> members_;
 };
 
-/// Workers by a text that several may share.
+/// Workers by a key that several may share.
 class worker_index {
  public:
   void add(const std::string& key, worker_view& it);
-  /// Before those that it goes before.
+  /// Inserts the worker in the order that `before` defines.
   template <typename Before>
   void add(const std::string& key, worker_view& it, Before before) {
     std::vector<worker_view*>& all = members_[key];
@@ -72,33 +73,34 @@
   }
   void remove(const std::string& key, const worker_view& it);
   void clear() { members_.clear(); }
-  /// In the order in which they were added, unless that was told.
+  /// The workers of a key in the order of insertion or of `before`.
   const std::vector<worker_view*>& at(const std::string& key) const;
 
  private:
   std::unordered_map<std::string, std::vector<worker_view*>> members_;
 };
 
-/// What is looked for among workers in each turn or tick.
-struct worker_marks {
-  worker_marks();
-  /// Whose call may wait for an answer.
+/// The sets of workers that each turn or tick scans.
+struct worker_groups {
+  worker_groups();
+  /// Workers that may have a call pending.
   worker_set calling;
-  /// Where runs may have ended since waiting tasks were last placed.
+  /// Workers whose runs may have ended since waiting tasks were last placed.
   worker_set freed;
-  /// That may have starts proposed and not yet in the book.
+  /// Workers that may have starts proposed and not yet committed.
   worker_set proposing;
-  /// That may have starts in the book that were sent in no answer.
-  worker_set unsent;
-  /// Whose leave is recorded.
+  /// Workers that may have committed starts that no answer has carried.
+  worker_set with_unsent_starts;
+  /// Workers whose leave is recorded.
   worker_set left;
-  /// Whose fill tasks may be held back hard.
+  /// Workers whose backfill tasks may be throttled hard.
   worker_set held_back;
-  /// Where room may be kept.
-  worker_set with_rooms;
-  /// Idle ones whose call is held for work that may come, by until when.
+  /// Workers that may hold capacity reservations.
+  worker_set with_reservations;
+  /// Idle workers whose call is held because a task may become ready, by the
+  /// end of the hold.
   worker_queue held_calls;
-  /// All, by when they are to be looked at for silence.
+  /// All workers, by when they are next checked for missing heartbeats.
   worker_queue watched;
 
   void remove(worker_view& it);
--- a/fleet/worker-table.cc
+++ b/fleet/worker-table.cc
@@ -8,23 +8,24 @@
 namespace kestrelreel {
 namespace detail {
 
-/// A heartbeat may come seconds late, by the users' protocol; this is eight of
-/// the longest leases.
-constexpr milliseconds remember_life{60'000};
-/// Bounds the memory; each of 1,100 workers may end nearly twice in that time.
-constexpr size_t most_lives = 2'048;
-/// How much later than its answer told a worker's call may be sent.
+/// Time for which ended incarnations are remembered. The platform's protocol
+/// allows heartbeats that are seconds late; this is eight of the longest
+/// leases.
+constexpr milliseconds remember_ended_for{60'000};
+/// Bounds the memory: each of 1,100 workers may end nearly twice in that time.
+constexpr size_t max_ended_incarnations = 2'048;
+/// Maximum delay of a worker's call after the interval that its answer set.
 constexpr milliseconds call_slack{150};
 
 }  // namespace detail
 
-void worker_table::drop_old_lives() {
+void worker_table::drop_old_incarnations() {
   const time_point now = clock_.now();
-  while (!over_since_.empty() &&
-         (now - over_since_.front().first >= detail::remember_life ||
-          over_since_.size() > detail::most_lives)) {
-    over_.erase(over_since_.front().second);
-    over_since_.pop_front();
+  while (!ended_at_.empty() &&
+         (now - ended_at_.front().first >= detail::remember_ended_for ||
+          ended_at_.size() > detail::max_ended_incarnations)) {
+    ended_.erase(ended_at_.front().second);
+    ended_at_.pop_front();
   }
 }
 
@@ -32,18 +33,18 @@
   by_id_.clear();
   by_name_.clear();
   by_place_.clear();
-  marks_ = {};
+  groups_ = {};
   shared_names_.clear();
   views_.clear();
 }
 
-/// Out of all that refers to it.
+/// Removes the worker from all indexes and sets.
 void worker_table::drop(worker_view& it) {
   by_id_.erase(it.id.str());
-  by_name_.remove(name_of(it.id), it);
+  by_name_.remove(worker_name_of(it.id), it);
   by_place_.remove(it.beat.machine(), it);
   by_place_.remove(it.beat.address(), it);
-  marks_.remove(it);
+  groups_.remove(it);
 }
 
 void worker_table::erase(const worker_id& id) {
@@ -53,107 +54,117 @@
   views_.erase(found);
 }
 
-void worker_table::end_life(const worker_id& id) {
+void worker_table::end_incarnation(const worker_id& id) {
   erase(id);
-  if (over_.try_emplace(id).second) over_since_.emplace_back(clock_.now(), id);
-  drop_old_lives();
+  if (ended_.try_emplace(id).second) ended_at_.emplace_back(clock_.now(), id);
+  drop_old_incarnations();
 }
 
-bool worker_table::is_over(const worker_id& id) {
-  drop_old_lives();
-  return over_.contains(id);
+bool worker_table::is_ended(const worker_id& id) {
+  drop_old_incarnations();
+  return ended_.contains(id);
 }
 
-bool worker_table::stays_over(const fleet::worker_beat& beat) {
-  const worker_id id = life_of(beat);
-  const worker_view* later = later_life(id);
-  if (later == nullptr && !is_over(id)) return false;
-  const auto [it, fresh] = over_.try_emplace(id);
-  if (fresh) over_since_.emplace_back(clock_.now(), id);
+bool worker_table::stays_ended(const fleet::worker_beat& beat) {
+  const worker_id id = incarnation_of(beat);
+  const worker_view* later = later_incarnation(id);
+  if (later == nullptr && !is_ended(id)) return false;
+  const auto [it, fresh] = ended_.try_emplace(id);
+  if (fresh) ended_at_.emplace_back(clock_.now(), id);
   late_call& first = it->second;
   const time_point now = clock_.now();
-  const bool spoken = later != nullptr && later->told >= first.at;
-  if (!std::exchange(first.came, true) || spoken) {
+  const bool later_called =
+      later != nullptr && later->last_heartbeat_at >= first.at;
+  if (!std::exchange(first.received, true) || later_called) {
     first.at = now;
     first.clock_ms = beat.clock_ms();
     return true;
   }
-  const milliseconds own_clock(
+  const milliseconds worker_elapsed(
       static_cast<int64_t>(beat.clock_ms() - first.clock_ms));
-  return now - first.at < sure_life || own_clock < sure_life;
+  return now - first.at < incarnation_proof_time ||
+         worker_elapsed < incarnation_proof_time;
 }
 
-worker_view& worker_table::view_of(const worker_id& id) {
+worker_view& worker_table::find_or_add(const worker_id& id) {
   if (worker_view* known = find(id)) return *known;
   worker_view& it = views_[id];
   it.id = id;
   it.ordinal = ++last_ordinal_;
   by_id_[it.id.str()] = &it;
-  // Not before: a difference that comes first only asks for the whole.
-  over_.erase(id);
-  const std::string name = name_of(id);
+  // A difference that arrives first only requests the whole heartbeat, and must
+  // not reinstate the incarnation: so the entry is erased only here.
+  ended_.erase(id);
+  const std::string name = worker_name_of(id);
   by_name_.add(name, it, [](const auto* a, const auto* b) {
-    return born_of(a->id) < born_of(b->id);
+    return start_time_of(a->id) < start_time_of(b->id);
   });
-  if (lives_of(name).size() > 1) shared_names_.insert(name);
-  marks_.freed.add(it);
-  marks_.watched.set(it, clock_.now());
+  if (incarnations_of(name).size() > 1) shared_names_.insert(name);
+  groups_.freed.add(it);
+  groups_.watched.set(it, clock_.now());
   return it;
 }
 
-void worker_table::take_place(worker_view& it, const fleet::worker_beat& beat) {
-  const auto move = [&](const std::string& from, const std::string& to) {
-    if (from == to && it.known) return;
+void worker_table::update_place(worker_view& it,
+                                const fleet::worker_beat& beat) {
+  const auto update = [&](const std::string& from, const std::string& to) {
+    if (from == to && it.has_heartbeat) return;
     if (!from.empty()) by_place_.remove(from, it);
     if (!to.empty()) by_place_.add(to, it);
   };
-  move(it.beat.machine(), beat.machine());
-  move(it.beat.address(), beat.address());
+  update(it.beat.machine(), beat.machine());
+  update(it.beat.address(), beat.address());
 }
 
-bool worker_table::has_earlier_life(const std::string& name) {
-  drop_old_lives();
-  const std::string prefix = str_cat(name, birth_mark);
-  const auto it = over_.lower_bound(worker_id(prefix));
-  const bool over = it != over_.end() && it->first.str().starts_with(prefix);
-  return over || lives_of(name).size() > 1;
+bool worker_table::has_earlier_incarnation(const std::string& name) {
+  drop_old_incarnations();
+  const std::string prefix = str_cat(name, incarnation_separator);
+  const auto it = ended_.lower_bound(worker_id(prefix));
+  const bool ended = it != ended_.end() && it->first.str().starts_with(prefix);
+  return ended || incarnations_of(name).size() > 1;
 }
 
 std::set<std::string> worker_table::shared_names() {
   std::erase_if(shared_names_, [this](const std::string& name) {
-    return lives_of(name).size() < 2;
+    return incarnations_of(name).size() < 2;
   });
   return shared_names_;
 }
 
-/// Of several lives only the one that called last may be living.
-void worker_table::review_doubts(const std::string& name) {
-  const std::vector<worker_view*>& lives = lives_of(name);
+/// Of several incarnations only the one that called last can be alive.
+void worker_table::update_superseded(const std::string& name) {
+  const std::vector<worker_view*>& incarnations = incarnations_of(name);
   time_point last{};
-  for (const worker_view* it : lives) last = std::max(last, it->told);
-  for (worker_view* it : lives) it->doubtful = it->told < last;
+  for (const worker_view* it : incarnations)
+    last = std::max(last, it->last_heartbeat_at);
+  for (worker_view* it : incarnations)
+    it->superseded = it->last_heartbeat_at < last;
 }
 
-const worker_view* worker_table::later_life(const worker_id& id) {
-  const std::vector<worker_view*>& lives = lives_of(name_of(id));
-  if (lives.empty() || born_of(lives.back()->id) <= born_of(id)) return nullptr;
-  return lives.back();
+const worker_view* worker_table::later_incarnation(const worker_id& id) {
+  const std::vector<worker_view*>& incarnations =
+      incarnations_of(worker_name_of(id));
+  if (incarnations.empty() ||
+      start_time_of(incarnations.back()->id) <= start_time_of(id))
+    return nullptr;
+  return incarnations.back();
 }
 
 worker_view& worker_table::expect(const worker_id& id) {
-  worker_view& it = view_of(id);
-  it.over_at = std::max(it.over_at, clock_.now() + leases_.over_after());
+  worker_view& it = find_or_add(id);
+  it.lease_expires_at =
+      std::max(it.lease_expires_at, clock_.now() + leases_.expiry_delay());
   return it;
 }
 
-std::optional<worker_id> worker_table::life_before(
+std::optional<worker_id> worker_table::find_predecessor(
     const worker_view& it) const {
   std::optional<worker_id> first;
   for (const auto& neighbours :
        {at_place(it.beat.address()), at_place(it.beat.machine()),
-        lives_of(name_of(it.id))}) {
+        incarnations_of(worker_name_of(it.id))}) {
     for (const worker_view* o : neighbours) {
-      if (o == &it || o->told >= it.first_told) continue;
+      if (o == &it || o->last_heartbeat_at >= it.first_heartbeat_at) continue;
       if (!first || o->id < *first) first = o->id;
     }
   }
@@ -165,15 +176,15 @@
   return it == by_id_.end() ? nullptr : it->second;
 }
 
-/// The least offset seen belongs to the heartbeat that travelled fastest; a
-/// slow clock moves it by the drift at most.
+/// The smallest clock offset belongs to the heartbeat with the shortest transit
+/// time; a slow clock shifts the offset by at most the drift.
 bool worker_table::is_timely(worker_view& it,
                              const fleet::worker_beat& beat) const {
   if (beat.clock_ms() == 0) return true;
   const time_point now = clock_.now();
   const int64_t offset = now.count() - static_cast<int64_t>(beat.clock_ms());
   if (it.clock_offset == INT64_MAX) it.clock_offset = offset;
-  const int64_t passed = it.known ? (now - it.offset_at).count() : 0;
+  const int64_t passed = it.has_heartbeat ? (now - it.offset_at).count() : 0;
   it.clock_offset += passed * leases_.drift_percent / 100;
   it.offset_at = now;
   it.delay = std::max(milliseconds(0), milliseconds(offset - it.clock_offset));
@@ -182,20 +193,22 @@
   return timely;
 }
 
-/// A call that got no answer is followed by one after the answer limit, by the
-/// worker's own clock. One that follows sooner had an answer, or one that came
-/// no sooner than a long pause said.
+/// A worker without an answer calls again after the answer limit by its own
+/// clock. A call that follows sooner shows that the worker got an answer. So
+/// does a call that waited out a call interval of about the limit or longer.
 bool worker_table::shows_answer(const worker_view& it,
                                 const fleet::worker_beat& next) const {
-  if (!it.known || next.sequence() != it.beat.sequence() + 1) return false;
-  const milliseconds own(
+  if (!it.has_heartbeat || next.sequence() != it.beat.sequence() + 1)
+    return false;
+  const milliseconds elapsed(
       static_cast<int64_t>(next.clock_ms() - it.beat.clock_ms()));
-  if (own < leases_.answer_limit) return true;
-  return it.pause + detail::call_slack >= leases_.answer_limit &&
-         own >= it.pause;
+  if (elapsed < leases_.answer_limit) return true;
+  return it.call_interval + detail::call_slack >= leases_.answer_limit &&
+         elapsed >= it.call_interval;
 }
 
-void worker_table::take_whole(worker_view& it, const fleet::worker_beat& beat) {
+void worker_table::apply_whole(worker_view& it,
+                               const fleet::worker_beat& beat) {
   it.beat = beat;
   it.beat.clear_running();
   it.rows.clear();
@@ -204,9 +217,10 @@
   }
 }
 
-/// False when the readings do not belong to the rows that are known.
-bool worker_table::take_difference(worker_view& it,
-                                   const fleet::worker_beat& beat) {
+/// Applies a difference. Returns false when the readings do not match the known
+/// rows.
+bool worker_table::apply_difference(worker_view& it,
+                                    const fleet::worker_beat& beat) {
   for (const fleet::run_name& gone : beat.gone()) {
     it.rows.erase({to_key(gone.task()), run_number(gone.run())});
   }
@@ -233,43 +247,47 @@
   return true;
 }
 
-worker_table::arrival worker_table::heard(const fleet::worker_beat& beat) {
-  const worker_id id = life_of(beat);
-  const bool differs = beat.base() != 0;
+worker_table::arrival worker_table::receive_heartbeat(
+    const fleet::worker_beat& beat) {
+  const worker_id id = incarnation_of(beat);
+  const bool is_difference = beat.base() != 0;
   const worker_view* found = find(id);
-  const bool known = found != nullptr && found->known;
+  const bool known = found != nullptr && found->has_heartbeat;
   if (known) {
     const worker_view& view = *found;
-    const beat_order order = order_of(view.beat, view.told, beat, clock_.now());
-    if (order == beat_order::overtaken) return {};
-    if (order == beat_order::misfit) return {nullptr, false, false, true};
+    const heartbeat_order order = compare_heartbeats(
+        view.beat, view.last_heartbeat_at, beat, clock_.now());
+    if (order == heartbeat_order::overtaken) return {};
+    if (order == heartbeat_order::inconsistent)
+      return {nullptr, false, false, true};
   }
-  if (differs && (!known || found->beat.sequence() != beat.base())) {
+  if (is_difference && (!known || found->beat.sequence() != beat.base())) {
     return {nullptr, false, true};
   }
-  worker_view& it = view_of(id);
+  worker_view& it = find_or_add(id);
   const time_point now = clock_.now();
-  it.answered = it.answered || shows_answer(it, beat);
+  it.got_answer = it.got_answer || shows_answer(it, beat);
   const bool timely = is_timely(it, beat);
-  if (!differs) {
-    take_place(it, beat);
-    take_whole(it, beat);
-  } else if (!take_difference(it, beat)) {
-    // All of it comes under the same sequence, and nothing may build on this.
+  if (!is_difference) {
+    update_place(it, beat);
+    apply_whole(it, beat);
+  } else if (!apply_difference(it, beat)) {
+    // The whole heartbeat arrives with the same sequence, and no difference may
+    // be based on this state.
     it.beat.set_sequence(beat.sequence() - 1);
     return {nullptr, false, true};
   }
-  if (!it.known) {
-    it.first_told = now;
+  if (!it.has_heartbeat) {
+    it.first_heartbeat_at = now;
     it.first_clock_ms = beat.clock_ms();
-    it.follows = life_before(it);
+    it.predecessor = find_predecessor(it);
   }
-  it.told = now;
+  it.last_heartbeat_at = now;
   it.lapsed.clear();
-  if (timely) it.heard = now;
-  it.known = true;
-  it.doubtful = false;
-  if (shared_names_.contains(beat.worker())) review_doubts(beat.worker());
+  if (timely) it.last_timely_heartbeat_at = now;
+  it.has_heartbeat = true;
+  it.superseded = false;
+  if (shared_names_.contains(beat.worker())) update_superseded(beat.worker());
   return {&it, timely, false};
 }
 
--- a/fleet/worker-table.h
+++ b/fleet/worker-table.h
@@ -1,5 +1,5 @@
-// What the leader knows of the workers from their heartbeats. Nothing of it is
-// replicated: a new leader learns it anew.
+// The leader's view of the workers, built from their heartbeats. The view is
+// not replicated: a new leader rebuilds it.
 #pragma once
 
 #include <cstdint>
@@ -24,44 +24,46 @@
 
 namespace kestrelreel {
 
-/// A worker is granted no more than this, whatever the platform allows: what
-/// ran on one that is lost for good starts elsewhere only when the grant is
-/// over, and the users bear a serving task away for 9 s where there is room. 7
-/// s with 2 % of drift, two heartbeats, a commit and an order stay below 8.5;
-/// cuts of up to 6.5 s are survived.
-constexpr milliseconds longest_hold{7'000};
+/// Upper bound of a worker's lease, whatever the platform allows. The tasks of
+/// a lost worker start elsewhere only after the lease has expired, and users
+/// tolerate an outage of a serving task of 9 s where there is free capacity.
+/// 7 s plus 2 % clock drift, two heartbeats, a commit and an order take less
+/// than 8.5 s. Network cuts of up to 6.5 s are survived.
+constexpr milliseconds max_lease_duration{7'000};
 
-/// How long workers may run on without a word, and what clocks may do.
+/// Lease of a worker and the clock error that it allows for.
 struct lease_settings {
-  /// What each answer grants, from when the worker sent its heartbeat.
-  milliseconds hold{6'000};
-  /// Most that a worker's clock runs slow.
+  /// Lease granted by each answer, counted from when the worker sent its
+  /// heartbeat.
+  milliseconds duration{6'000};
+  /// Maximum rate by which a worker's clock runs slow.
   unsigned drift_percent = 2;
-  /// Covers the timers of both sides.
+  /// Covers the timer inaccuracy of both sides.
   milliseconds slack{100};
-  /// A worker drops an answer that comes later than this.
+  /// A worker drops answers that arrive later than this.
   milliseconds answer_limit{1'000};
 
-  /// From the arrival of a heartbeat until nothing that it prolonged is alive.
-  milliseconds over_after() const {
-    return hold + hold * drift_percent / 100 + slack;
+  /// Time from the arrival of a heartbeat until every run whose lease the
+  /// heartbeat renewed has ended.
+  milliseconds expiry_delay() const {
+    return duration + duration * drift_percent / 100 + slack;
   }
 };
 
-/// Two heartbeats of a live worker lie this far apart; those of a dead one that
-/// a cut held up arrive together.
-constexpr milliseconds sure_life{800};
+/// An incarnation whose heartbeats span this time is alive. Heartbeats of a
+/// dead incarnation that a network cut delayed arrive together.
+constexpr milliseconds incarnation_proof_time{800};
 
-/// A call comes so much later than its worker was told to, at most: the way of
-/// the answer before, its own, and once that a box puts it off.
-constexpr milliseconds longest_call_way{800};
+/// Maximum delay of a worker's call after its due time: the transit of the
+/// previous answer, the transit of the call, and one postponement by a box.
+constexpr milliseconds max_call_delay{800};
 
-/// All of a task's work, in percent.
-constexpr unsigned full_pace = 100;
+/// Pace of a task that is not throttled, in percent.
+constexpr unsigned full_pace_percent = 100;
 
-/// Room that is kept for a task that waits, so that no smaller one takes it.
-struct kept_room {
-  /// The task's step, named by its first task, and what a task of it takes.
+/// Capacity reserved for a waiting task, so that no smaller task takes it.
+struct capacity_reservation {
+  /// The task's step, named by its first task, and the demand of one task.
   task_key step;
   uint64_t cpu = 0;
   uint64_t memory_mb = 0;
@@ -69,118 +71,125 @@
   time_point until{};
 };
 
-/// One life of a worker.
+/// One incarnation of a worker.
 struct worker_view {
   worker_id id;
-  /// Rises from worker to worker, in the order in which they became known.
+  /// Increases in the order in which the workers became known.
   uint64_t ordinal = 0;
   /// The last heartbeat, without its rows.
   fleet::worker_beat beat;
-  /// When the last heartbeat came whose answer still counts; `known` is false
-  /// before the first heartbeat.
-  time_point heard{};
-  bool known = false;
-  /// When the first heartbeat and the last one of any age were taken in, and
-  /// what the worker's clock showed in the first.
-  time_point first_told{};
-  time_point told{};
+  /// Arrival of the last heartbeat that was recent enough to grant a lease.
+  time_point last_timely_heartbeat_at{};
+  /// False before the first heartbeat.
+  bool has_heartbeat = false;
+  /// Arrival of the first heartbeat and of the last one of any age, and the
+  /// worker's clock in the first.
+  time_point first_heartbeat_at{};
+  time_point last_heartbeat_at{};
   uint64_t first_clock_ms = 0;
-  /// How much longer the last heartbeat was on its way than the quickest one.
+  /// Transit time of the last heartbeat beyond that of the fastest one.
   milliseconds delay{0};
-  /// When everything that this leader or an earlier one let run is over.
-  time_point over_at{};
-  /// It leaves in order: it gets no new work and no starts, and what it still
-  /// lists counts.
-  bool leaves = false;
-  /// Since when that is recorded.
-  std::optional<time_point> left_at;
-  /// What runs there was told to stop, as its time is nearly over.
+  /// Expiry of every lease that this leader or an earlier one granted.
+  time_point lease_expires_at{};
+  /// The worker shuts down in order: it gets no new tasks and no start orders,
+  /// and the ends that it still lists count.
+  bool is_leaving = false;
+  /// When the leave was recorded in the log.
+  std::optional<time_point> leave_recorded_at;
+  /// Stops were ordered for its runs, as the worker is about to go.
   bool vacated = false;
-  /// That its life is over is proposed: nothing more of it is taken in.
-  bool over = false;
-  /// The life that was at its place when it first called.
-  std::optional<worker_id> follows;
-  /// Another life of its worker called since: it gets no new work meanwhile.
-  bool doubtful = false;
-  /// What runs there by the last heartbeat.
+  /// The loss of this incarnation was proposed: its heartbeats are ignored.
+  bool loss_proposed = false;
+  /// The incarnation that was at the same place at the first heartbeat.
+  std::optional<worker_id> predecessor;
+  /// Another incarnation of the worker called later: this one gets no new
+  /// tasks until it calls again.
+  bool superseded = false;
+  /// The runs that the last heartbeat listed.
   std::map<run_key, fleet::running_row> rows;
-  /// When a start was last sent.
-  std::map<run_key, time_point> sent;
-  /// Until when starts that the log has, sent in no answer yet, wait for one.
-  std::map<run_key, time_point> unsent;
-  /// Runs that were given up on since its last heartbeat, as their lease was
-  /// over: it may still show that it crashed.
+  /// When the start order of a run was last sent.
+  std::map<run_key, time_point> starts_sent_at;
+  /// Committed starts that no answer has carried yet, with the time until which
+  /// they wait for one.
+  std::map<run_key, time_point> unsent_starts;
+  /// Runs declared lost since the last heartbeat because their lease expired.
+  /// The worker may still turn out to have crashed.
   std::set<run_key> lapsed;
-  /// When such starts were last taken back: it gets no work until it calls.
-  time_point taken_back_at{};
-  /// The last end that was proposed to the log.
-  uint64_t end_proposed = 0;
-  /// The last end that an answer acknowledged.
-  uint64_t end_told = 0;
-  /// Starts proposed and not yet in the book.
-  std::map<run_key, fleet::step_spec> proposed;
-  /// What is taken of it by its runs in the book and the proposed ones, unless
-  /// they changed since.
+  /// When unsent starts were last recalled: the worker gets no tasks until it
+  /// calls.
+  time_point starts_recalled_at{};
+  /// Number of the last end that was proposed to the log.
+  uint64_t last_end_proposed = 0;
+  /// Number of the last end that an answer acknowledged.
+  uint64_t last_end_acknowledged = 0;
+  /// Starts that are proposed and not yet committed.
+  std::map<run_key, fleet::step_spec> proposed_starts;
+  /// Capacity used by the recorded and the proposed runs; outdated while
+  /// `load_is_stale`.
   worker_load load;
-  bool load_is_old = true;
-  /// It lists runs that are not in the book: they take room until they end.
+  bool load_is_stale = true;
+  /// The worker lists runs that are not recorded: they use capacity until they
+  /// end.
   bool lists_unrecorded = false;
-  /// Runs there ended since waiting tasks were last placed.
+  /// Runs on the worker ended since waiting tasks were last placed.
   bool freed = true;
-  /// The step of a suspect task that was started here and is not listed yet:
-  /// nothing else is started meanwhile.
-  std::optional<task_key> tries;
-  /// Room kept here; it is gone with the worker and with the leadership.
-  std::vector<kept_room> kept;
-  /// The share that each fill task may work at, in percent, and what it was
-  /// told.
+  /// The step of a suspect task that was started on this worker and is not
+  /// listed yet: nothing else is started in the meantime.
+  std::optional<task_key> trial_step;
+  /// Capacity reserved on this worker; dropped with the worker or with the
+  /// leadership.
+  std::vector<capacity_reservation> reservations;
+  /// Pace of each backfill task in percent: the wanted one, and the last one
+  /// sent to the worker.
   std::map<run_key, unsigned> pace;
-  std::map<run_key, unsigned> paces;
-  /// When its readings were last looked at.
+  std::map<run_key, unsigned> sent_paces;
+  /// Time of the heartbeat from which the paces were last computed.
   time_point paced_at{};
-  /// What the loads of serving tasks exceed the model's by, as a share.
-  std::map<run_key, double> excess;
-  /// Since when serving tasks are over their target without a break.
-  std::map<run_key, time_point> over_since;
-  /// Images of fill tasks that were held back hard here for long: no more of
-  /// them are placed before this.
-  std::map<image_id, time_point> unfit_until;
-  /// Since when fill tasks are held back hard.
-  std::map<run_key, time_point> held_since;
-  /// Ends `failed` in a row, and of how many jobs.
+  /// Measured load of serving tasks beyond the model's prediction, as a share.
+  std::map<run_key, double> load_excess;
+  /// Since when serving tasks have exceeded their target without a break.
+  std::map<run_key, time_point> over_target_since;
+  /// Images of backfill tasks that were throttled hard on this worker for long:
+  /// no more tasks of them are placed before this time.
+  std::map<image_id, time_point> image_barred_until;
+  /// Since when backfill tasks have been throttled hard.
+  std::map<run_key, time_point> throttled_since;
+  /// Consecutive ends with outcome `failed`, and the number of their jobs.
   unsigned failures = 0;
   job_number failed_job;
   unsigned failed_jobs = 0;
-  /// Heartbeats in a row that listed refused starts, none that was done.
+  /// Consecutive heartbeats that listed refused starts and no run that was
+  /// done.
   unsigned refusals = 0;
-  /// Gets no new work before this.
+  /// The worker gets no new tasks before this time.
   time_point avoided_until{};
   unsigned avoided_times = 0;
-  /// The answer that the worker waits for, and since when.
+  /// Answers the pending call of the worker.
   std::function<void(fleet::fleet_response)> respond;
-  time_point asked{};
-  /// Until when the call is held, and when the worker is to be looked at for
-  /// silence; 0 for never.
+  /// Arrival of the pending call.
+  time_point call_received_at{};
+  /// Until when the call is held, and when the worker is next checked for
+  /// missing heartbeats; 0 for never.
   time_point held_until{};
-  time_point watch_at{};
-  /// That call was held for work that might come.
+  time_point silence_check_at{};
+  /// The call was held because a task may become ready for the worker.
   bool was_held = false;
-  /// Its last answer ordered starts; until a heartbeat lists them all.
+  /// The last answer ordered starts that no heartbeat has listed completely.
   bool awaits_start = false;
-  /// When it is to call next, by its last answer, and how long after it; 0
-  /// before the first one.
+  /// When the next call is due by the last answer, and the interval that the
+  /// answer set; 0 before the first answer.
   time_point call_due{};
-  milliseconds pause{0};
-  /// It called as only one does that got an answer from here: its calls are no
-  /// held-up ones of a life that is over.
-  bool answered = false;
-  /// Least difference of its clock to ours so far: how long ago a heartbeat
-  /// was sent is told by how much this one differs.
+  milliseconds call_interval{0};
+  /// The timing of its calls shows that the worker got an answer of this
+  /// leader, so they are not delayed calls of a dead incarnation.
+  bool got_answer = false;
+  /// Smallest difference between the leader's clock and the worker's so far.
+  /// The difference of a heartbeat beyond this is the heartbeat's delay.
   int64_t clock_offset = INT64_MAX;
   time_point offset_at{};
 
-  /// When its next call has surely come if it lives.
-  time_point overdue_at() const { return call_due + longest_call_way; }
+  /// Time by which the next call of a live worker has arrived.
+  time_point overdue_at() const { return call_due + max_call_delay; }
 };
 
 /// The workers by id.
@@ -189,105 +198,109 @@
   worker_table(lease_settings leases, clock_source& clock)
       : leases_(leases), clock_(clock) {}
 
-  /// Forgets all; each worker that may run something is taken in with
-  /// `expect`.
+  /// Forgets all workers. Each worker that may run something must then be
+  /// registered with `expect`.
   void clear();
-  /// True for a life that began to call just now at the place of another one:
-  /// whether that one crashed will be known in a moment.
+  /// True for an incarnation that has just started to call at the place of
+  /// another one, until a crash of the other one can be decided.
   bool is_unsettled(const worker_view& it) const {
-    return it.follows && views_.contains(*it.follows) &&
-           clock_.now() - it.first_told < sure_life + leases_.slack;
+    return it.predecessor && views_.contains(*it.predecessor) &&
+           clock_.now() - it.first_heartbeat_at <
+               incarnation_proof_time + leases_.slack;
   }
-  /// A worker that an earlier leader may have granted time just now.
+  /// Registers a worker to which an earlier leader may have granted a lease
+  /// until now.
   worker_view& expect(const worker_id& id);
-  /// What a heartbeat came to.
+  /// Result of receiving a heartbeat.
   struct arrival {
-    /// Null when a later one was taken in already.
+    /// Null when the heartbeat was rejected, or a later one was received
+    /// before.
     worker_view* view = nullptr;
-    /// False when it was sent so long ago that the worker drops its answer:
-    /// what it tells is true all the same, but nothing may be granted on it.
+    /// False when the heartbeat is so old that the worker drops the answer: its
+    /// content is valid, but it must not grant a lease.
     bool timely = false;
-    /// It tells the difference to one that was not the last taken in here, so
-    /// that nothing of it was.
+    /// The heartbeat is a difference that does not match the last one received
+    /// here, and was rejected.
     bool wants_whole = false;
-    /// It can't be of the worker that it names: nothing of it was taken in.
-    bool misfit = false;
+    /// The heartbeat can't be of the worker that it names, and was rejected.
+    bool inconsistent = false;
   };
-  arrival heard(const fleet::worker_beat& beat);
+  arrival receive_heartbeat(const fleet::worker_beat& beat);
   void erase(const worker_id& id);
-  /// Forgets a worker whose life is surely over, but for that: a heartbeat of
-  /// it that comes later must not pass for a new life.
-  void end_life(const worker_id& id);
-  /// True for so long as such a heartbeat may come; on every replica, as the
-  /// next leader must know.
-  bool is_over(const worker_id& id);
-  /// A heartbeat of such a life, or of one with a later birth known: true while
-  /// it is to be taken for a held-up one. A life that calls on for `sure_life`,
-  /// by our clock and by its own, and without a word of the later one, was
-  /// taken to be over wrongly and comes back: clocks that births are read from
-  /// may be set back.
-  bool stays_over(const fleet::worker_beat& beat);
+  /// Forgets an incarnation that has ended, except for its id: a heartbeat of
+  /// it that arrives later must not count as a new incarnation.
+  void end_incarnation(const worker_id& id);
+  /// True while a heartbeat of an ended incarnation may still arrive. Kept on
+  /// every replica, as the next leader needs it.
+  bool is_ended(const worker_id& id);
+  /// True while a heartbeat of an ended incarnation, or of one with a known
+  /// later start, counts as delayed. An incarnation that keeps calling for
+  /// `incarnation_proof_time` by the leader's clock and by its own, without a
+  /// call of the later one, was declared ended by mistake and is reinstated:
+  /// the clocks that start times are read from may be set back.
+  bool stays_ended(const fleet::worker_beat& beat);
   worker_view* find(const worker_id& id);
-  /// The lives of that name that are not known to be over, the last born last;
-  /// until a worker comes or goes.
-  const std::vector<worker_view*>& lives_of(const std::string& name) const {
+  /// The incarnations of a worker that are not known to have ended, by start
+  /// time. The reference is valid until a worker is added or removed.
+  const std::vector<worker_view*>& incarnations_of(
+      const std::string& name) const {
     return by_name_.at(name);
   }
-  /// Those that name this machine, or this address.
+  /// The incarnations at a machine or an address.
   const std::vector<worker_view*>& at_place(const std::string& place) const {
     return by_place_.at(place);
   }
-  /// True when a life of that name is over, or several are there.
-  bool has_earlier_life(const std::string& name);
-  /// Names of which there are several lives; looked at anew with each call.
+  /// True when an incarnation of that worker has ended, or several are known.
+  bool has_earlier_incarnation(const std::string& name);
+  /// Names of the workers with several incarnations, updated by each call.
   std::set<std::string> shared_names();
-  worker_marks& marks() { return marks_; }
+  worker_groups& groups() { return groups_; }
   std::map<worker_id, worker_view>& views() { return views_; }
   const std::map<worker_id, worker_view>& views() const { return views_; }
   const lease_settings& leases() const { return leases_; }
-  /// The worker's answer was sent: what it runs may go on for that long, and
-  /// after the pause it is to call again.
-  void granted(worker_view& it, milliseconds pause) {
-    it.over_at = it.heard + leases_.over_after();
-    it.call_due = clock_.now() + pause;
-    it.pause = pause;
+  /// Records that the worker's answer was sent, which renewed its lease and
+  /// asked for the next call after `call_interval`.
+  void granted(worker_view& it, milliseconds call_interval) {
+    it.lease_expires_at = it.last_timely_heartbeat_at + leases_.expiry_delay();
+    it.call_due = clock_.now() + call_interval;
+    it.call_interval = call_interval;
   }
 
  private:
   bool shows_answer(const worker_view& it,
                     const fleet::worker_beat& next) const;
   bool is_timely(worker_view& it, const fleet::worker_beat& beat) const;
-  static void take_whole(worker_view& it, const fleet::worker_beat& beat);
-  static bool take_difference(worker_view& it, const fleet::worker_beat& beat);
-  worker_view& view_of(const worker_id& id);
+  static void apply_whole(worker_view& it, const fleet::worker_beat& beat);
+  static bool apply_difference(worker_view& it, const fleet::worker_beat& beat);
+  worker_view& find_or_add(const worker_id& id);
   void drop(worker_view& it);
-  void take_place(worker_view& it, const fleet::worker_beat& beat);
-  std::optional<worker_id> life_before(const worker_view& it) const;
-  const worker_view* later_life(const worker_id& id);
-  void review_doubts(const std::string& name);
-  void drop_old_lives();
+  void update_place(worker_view& it, const fleet::worker_beat& beat);
+  std::optional<worker_id> find_predecessor(const worker_view& it) const;
+  const worker_view* later_incarnation(const worker_id& id);
+  void update_superseded(const std::string& name);
+  void drop_old_incarnations();
 
   lease_settings leases_;
   clock_source& clock_;
   std::map<worker_id, worker_view> views_;
   std::unordered_map<std::string_view, worker_view*> by_id_;
-  // Sorted by birth.
+  // Sorted by start time.
   worker_index by_name_;
   // By machine and by address.
   worker_index by_place_;
-  worker_marks marks_;
+  worker_groups groups_;
   uint64_t last_ordinal_ = 0;
-  // Names that had several lives when last looked at.
+  // Names that had several incarnations at the last check.
   std::set<std::string> shared_names_;
-  /// The first heartbeat that came of a life that is over.
+  /// The first heartbeat that arrived after its incarnation had ended.
   struct late_call {
-    bool came = false;
+    bool received = false;
     time_point at{};
     uint64_t clock_ms = 0;
   };
-  // Lives that are over, and in the order of their ends since when.
-  std::map<worker_id, late_call> over_;
-  std::deque<std::pair<time_point, worker_id>> over_since_;
+  // Ended incarnations, and their end times in order.
+  std::map<worker_id, late_call> ended_;
+  std::deque<std::pair<time_point, worker_id>> ended_at_;
 };
 
 }  // namespace kestrelreel
