--- a/fleet/beat-intake-test.cc
+++ b/fleet/beat-intake-test.cc
@@ -1,5 +1,6 @@
-// Heartbeats taken in by a box that does not lead: the leader learns the same
-// from differences as from whole ones, and answers just the call it read.
+// Heartbeats received by a box that is not the leader: differences give the
+// leader the same state as whole heartbeats, and an answer answers only the
+// call that the leader read.
 #include <CppUTest/TestHarness.h>
 
 #include <optional>
@@ -52,8 +53,8 @@
     it.mutable_response()->set_wants_whole(wants_whole);
     intake.handle_answers(all);
   }
-  /// What the leader took in of all that is passed on.
-  worker_table::arrival pass_on(const char* leader = "L") {
+  /// Forwards the pending call to the leader.
+  worker_table::arrival forward(const char* leader = "L") {
     const fleet::beat_batch batch = intake.collect(leader);
     LONGS_EQUAL(1, batch.beats_size());
     return table.receive_heartbeat(batch.beats(0));
@@ -71,7 +72,7 @@
   }
 };
 
-TEST(heartbeat_intake, differences_tell_the_same_as_whole_heartbeats) {
+TEST(heartbeat_intake, differences_diverge_from_whole_heartbeats) {
   seeded_random random(5);
   uint32_t next = 0;
   for (int i = 0; i < 200; ++i) {
@@ -90,7 +91,7 @@
       row.set_reading(static_cast<double>(random.below(100)));
     }
     call();
-    const auto arrival = pass_on();
+    const auto arrival = forward();
     CHECK_TRUE(arrival.view != nullptr && arrival.timely);
     check_rows(*arrival.view);
     answer(beat.sequence());
@@ -98,10 +99,10 @@
   LONGS_EQUAL(200, answers);
 }
 
-TEST(heartbeat_intake, quiet_heartbeat_passes_on_no_rows) {
+TEST(heartbeat_intake, unchanged_heartbeat_forwards_rows) {
   for (uint32_t i = 0; i < 20; ++i) add_row(i, 1);
   call();
-  pass_on();
+  forward();
   answer(1);
   clock.advance(milliseconds(100));
   call();
@@ -111,14 +112,14 @@
   CHECK_TRUE(batch.ByteSizeLong() < 40);
 }
 
-TEST(heartbeat_intake, leader_that_lacks_the_base_asks_for_all) {
+TEST(heartbeat_intake, difference_accepted_without_its_base) {
   struct row {
     const char* name;
-    bool forgets;
-    bool overtaken_elsewhere;
+    bool leader_forgets;
+    bool forwarded_elsewhere;
   };
-  const row rows[] = {{"it forgot the worker", true, false},
-                      {"another box passed one on", false, true}};
+  const row rows[] = {{"the leader forgot the worker", true, false},
+                      {"another box forwarded a heartbeat", false, true}};
   for (const row& it : rows) {
     worker_table fresh(leases, clock);
     heartbeat_intake other({}, clock, metrics);
@@ -127,8 +128,8 @@
     call();
     fresh.receive_heartbeat(intake.collect("L").beats(0));
     answer(beat.sequence());
-    if (it.forgets) fresh.clear();
-    if (it.overtaken_elsewhere) {
+    if (it.leader_forgets) fresh.clear();
+    if (it.forwarded_elsewhere) {
       beat.set_sequence(beat.sequence() + 1);
       fresh.receive_heartbeat(beat);
     }
@@ -147,46 +148,44 @@
   }
 }
 
-// A difference whose readings fit none of the rows was answered by asking for
-// all, and what then came under the same sequence was called overtaken: the
-// worker got no orders, and the next difference was taken in on top of wrong
-// rows, so that a run could go on that the leader knew nothing of. The sequence
-// had been noted before the readings were looked at. Found by reading; no
-// intake has sent such a difference.
-TEST(heartbeat_intake,
-     all_of_what_was_asked_for_counts_under_the_same_sequence) {
+// The leader recorded a difference's sequence before it checked that the
+// readings match the rows. It then requested the whole heartbeat, and rejected
+// that as overtaken because of the same sequence: the worker got no orders, the
+// next difference was applied to wrong rows, and a run could go on that the
+// leader did not know. No intake is known to have sent such a difference.
+TEST(heartbeat_intake, requested_whole_heartbeat_rejected_for_same_sequence) {
   add_row(1, 5);
   call();
-  pass_on();
+  forward();
   answer(beat.sequence());
-  fleet::worker_beat unfit;
-  unfit.set_worker("a");
-  unfit.set_base(beat.sequence());
-  unfit.set_sequence(beat.sequence() + 1);
+  fleet::worker_beat mismatched;
+  mismatched.set_worker("a");
+  mismatched.set_base(beat.sequence());
+  mismatched.set_sequence(beat.sequence() + 1);
   for (int i = 0; i < 3; ++i) {
-    unfit.add_readings(1);
-    unfit.add_percents(1);
+    mismatched.add_readings(1);
+    mismatched.add_percents(1);
   }
-  CHECK_TRUE(table.receive_heartbeat(unfit).wants_whole);
-  // Nothing builds on it.
-  fleet::worker_beat next = unfit;
-  next.set_base(unfit.sequence());
-  next.set_sequence(unfit.sequence() + 1);
+  CHECK_TRUE(table.receive_heartbeat(mismatched).wants_whole);
+  // No difference may be based on the rejected one.
+  fleet::worker_beat next = mismatched;
+  next.set_base(mismatched.sequence());
+  next.set_sequence(mismatched.sequence() + 1);
   next.clear_readings();
   next.clear_percents();
   CHECK_TRUE(table.receive_heartbeat(next).wants_whole);
   add_row(2, 6);
   call();
-  LONGS_EQUAL(unfit.sequence(), beat.sequence());
+  LONGS_EQUAL(mismatched.sequence(), beat.sequence());
   const auto arrival = table.receive_heartbeat(beat);
   CHECK_TRUE(arrival.view != nullptr);
   check_rows(*arrival.view);
 }
 
-TEST(heartbeat_intake, another_leader_is_told_all_of_what_waits) {
+TEST(heartbeat_intake, new_leader_gets_only_differences) {
   add_row(1, 5);
   call();
-  pass_on("L");
+  forward("L");
   intake.leader_changed();
   const fleet::beat_batch batch = intake.collect("M");
   LONGS_EQUAL(1, batch.beats_size());
@@ -194,24 +193,24 @@
   LONGS_EQUAL(1, batch.beats(0).running_size());
 }
 
-TEST(heartbeat_intake, each_call_is_answered_once_and_only_by_its_own_answer) {
+TEST(heartbeat_intake, call_answered_twice_or_by_wrong_answer) {
   call();
-  pass_on();
+  forward();
   call();
-  // The earlier call is over: the worker made another one.
+  // The worker's second call ends the first one.
   LONGS_EQUAL(1, answers);
   answer(1);
   LONGS_EQUAL(1, answers);
-  pass_on();
+  forward();
   answer(2);
   answer(2);
   LONGS_EQUAL(2, answers);
   LONGS_EQUAL(0, intake.waiting());
 }
 
-// Told in the log alone before, so that what was refused here was missing from
-// the counter that the leader keeps.
-TEST(heartbeat_intake, heartbeats_refused_here_are_counted_by_cause) {
+// Heartbeats that the intake refused were only logged, and missing from the
+// counter that the leader keeps.
+TEST(heartbeat_intake, refused_heartbeat_missing_from_counter) {
   struct row {
     const char* name;
     int64_t sequence;
@@ -222,42 +221,43 @@
   };
   const row rows[] = {
       {"the worker's next one", 1, 200, "pool", "place:1", 0},
-      {"the same again", 0, 0, "pool", "place:1", 0},
-      {"one that was overtaken", -1, -200, "pool", "place:1", 0},
+      {"a duplicate", 0, 0, "pool", "place:1", 0},
+      {"an overtaken heartbeat", -1, -200, "pool", "place:1", 0},
       {"a higher sequence, an older clock", 1, -200, "pool", "place:1", 1},
-      {"a clock further ahead than time", 1, 90'000, "pool", "place:1", 1},
+      {"a clock further ahead than elapsed time", 1, 90'000, "pool", "place:1",
+       1},
       {"another pool", 1, 200, "other", "place:1", 1},
       {"another address", 1, 200, "pool", "place:2", 1},
   };
   for (const row& it : rows) {
-    metrics_registry counted;
-    heartbeat_intake box({}, clock, counted);
-    fleet::worker_beat own;
-    own.set_worker("b");
-    own.set_pool("pool");
-    own.set_address("place:1");
-    own.set_sequence(50);
-    own.set_clock_ms(500'000);
+    metrics_registry counters;
+    heartbeat_intake box({}, clock, counters);
+    fleet::worker_beat original;
+    original.set_worker("b");
+    original.set_pool("pool");
+    original.set_address("place:1");
+    original.set_sequence(50);
+    original.set_clock_ms(500'000);
     const auto ignore = [](const fleet::fleet_response&) {};
-    box.take(own, ignore);
+    box.take(original, ignore);
     clock.advance(milliseconds(200));
-    fleet::worker_beat copy = own;
-    copy.set_sequence(own.sequence() + static_cast<uint64_t>(it.sequence));
-    copy.set_clock_ms(own.clock_ms() + static_cast<uint64_t>(it.clock_ms));
+    fleet::worker_beat copy = original;
+    copy.set_sequence(original.sequence() + static_cast<uint64_t>(it.sequence));
+    copy.set_clock_ms(original.clock_ms() + static_cast<uint64_t>(it.clock_ms));
     copy.set_pool(it.pool);
     copy.set_address(it.address);
     fleet::fleet_status status = fleet::fleet_ok;
     box.take(copy,
              [&](const fleet::fleet_response& r) { status = r.status(); });
     CHECK_EQUAL_TEXT(it.refused,
-                     counted.counter("kestrelreel_heartbeats_unusable_total",
-                                     {{"cause", "misfit"}}),
+                     counters.counter("kestrelreel_heartbeats_unusable_total",
+                                      {{"cause", "misfit"}}),
                      it.name);
     CHECK_EQUAL_TEXT(it.refused > 0, status == fleet::fleet_invalid, it.name);
   }
 }
 
-TEST(heartbeat_intake, call_without_an_answer_is_given_up_within_a_second) {
+TEST(heartbeat_intake, unanswered_call_stays_pending) {
   call();
   clock.advance(milliseconds(800));
   intake.expire();
@@ -271,7 +271,7 @@
 
 TEST_GROUP(intake_directory){};
 
-TEST(intake_directory, workers_call_in_their_own_data_centre) {
+TEST(intake_directory, worker_sent_to_other_data_centre) {
   struct row {
     const char* name;
     int silent_ms;
@@ -279,9 +279,9 @@
     const char* address;
   };
   const row rows[] = {
-      {"its own", 0, "demre", "2:1"},
-      {"this box's", 0, "kumluca", "1:1"},
-      {"its own is down", 1'200, "demre", "1:1"},
+      {"own data centre", 0, "demre", "2:1"},
+      {"data centre of this box", 0, "kumluca", "1:1"},
+      {"box of own data centre is down", 1'200, "demre", "1:1"},
   };
   for (const row& it : rows) {
     intake_directory directory(box_id("1"), data_centre_id("kumluca"), "1:1");
@@ -299,7 +299,7 @@
   }
 }
 
-TEST(intake_directory, data_centre_without_a_box_is_spread_over_all) {
+TEST(intake_directory, workers_without_local_box_call_one_box) {
   intake_directory directory(box_id("1"), data_centre_id("kumluca"), "1:1");
   fleet::box_hello hello;
   hello.set_data_centre("demre");
--- a/fleet/cancel-before-job-test.cc
+++ b/fleet/cancel-before-job-test.cc
@@ -1,9 +1,8 @@
-// A cancel that reached the leader while its job was not recorded yet, as when
-// a caller leaves before its job is acknowledged, was answered "no such job" at
-// once. The job was recorded a moment later, its task started and nobody
-// stopped it: the answer was read off the book, which a job enters only when
-// its entry is applied. Found by reading; settled by this test, in which the
-// status was "no such job" and the task was started in both rows.
+// A cancel that reached the leader before its job was recorded, as when a
+// caller disconnects before the acknowledgement, was answered "no such job" at
+// once. The answer came from the applied state, which holds a job only after
+// its log entry is applied: the job was recorded later, and its task was
+// started and never stopped. Both rows failed that way.
 #include <CppUTest/TestHarness.h>
 
 #include <optional>
@@ -15,7 +14,7 @@
 
 TEST_GROUP(cancel_before_job){};
 
-TEST(cancel_before_job, cancel_holds_for_a_job_that_is_not_recorded_yet) {
+TEST(cancel_before_job, cancel_of_unrecorded_job_is_lost) {
   struct row {
     const char* name;
     bool proposed;
@@ -41,7 +40,7 @@
   }
 }
 
-TEST(cancel_before_job, cancel_of_a_job_that_nobody_sent_tells_so) {
+TEST(cancel_before_job, cancel_of_unknown_job_reports_no_job) {
   boxes all;
   LONGS_EQUAL(fleet::fleet_no_job, all.ask(cancel_call()).status());
   CHECK_TRUE(all.book().jobs().empty());
--- a/fleet/held-call-test.cc
+++ b/fleet/held-call-test.cc
@@ -1,5 +1,6 @@
-// Calls of idle workers are held for work where workers call seldom: a task
-// waited for its worker's next call, 1.5 s later on 6,000 workers.
+// Calls of idle workers are held for new tasks when the call rate is low.
+// Without that a task waited for its worker's next call, 1.5 s later with 6,000
+// workers.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -12,8 +13,8 @@
 
 namespace {
 
-/// Six workers call each 600 ms: as seldom as 6,000 at the usual rate and more.
-controller_settings seldom() {
+/// Six workers call every 600 ms, as rarely as 6,000 or more at the usual rate.
+controller_settings low_call_rate() {
   controller_settings settings = test_world::make_settings();
   settings.beats_per_s = 10;
   settings.idle_beats_per_s = 5;
@@ -24,7 +25,7 @@
 }  // namespace
 
 TEST_GROUP(held_call) {
-  test_world world{seldom()};
+  test_world world{low_call_rate()};
   std::vector<fleet::beat_answer> answers;
 
   void setup() override {
@@ -32,7 +33,7 @@
     for (int i = 0; i < 6; ++i) world.beat("w" + std::to_string(i));
     world.pass(milliseconds(100));
   }
-  /// By way of an intake box.
+  /// Calls through an intake box.
   void call(const std::string& worker) {
     fleet::worker_beat& it = world.workers[worker];
     it.set_sequence(it.sequence() + 1);
@@ -46,7 +47,7 @@
   }
 };
 
-TEST(held_call, start_waited_for_the_next_call_of_its_worker) {
+TEST(held_call, start_waits_for_next_call) {
   call("w0");
   LONGS_EQUAL(1, answers.size());
   CHECK_TRUE(answers[0].held());
@@ -57,7 +58,7 @@
   LONGS_EQUAL(1, answers[1].response().orders().starts_size());
 }
 
-TEST(held_call, answered_in_time_without_work) {
+TEST(held_call, held_call_without_task_is_answered_late) {
   call("w0");
   world.pass(milliseconds(400));
   LONGS_EQUAL(1, answers.size());
@@ -65,12 +66,12 @@
   LONGS_EQUAL(2, answers.size());
   const fleet::worker_orders& orders = answers[1].response().orders();
   CHECK_TRUE(orders.hold_ms() > 0);
-  // Six workers at five calls a second, less the time for which it was held.
+  // Six workers at five calls per second, less the time that the call was held.
   LONGS_EQUAL(700, orders.next_beat_ms());
 }
 
-TEST(held_call, worker_was_silent_before_its_next_call_was_due) {
-  controller_settings settings = seldom();
+TEST(held_call, worker_counts_as_silent_before_call_is_due) {
+  controller_settings settings = low_call_rate();
   settings.leases.duration = max_lease_duration;
   settings.idle_beats_per_s = 2;
   test_world slow(settings);
@@ -88,14 +89,14 @@
   slow.beat("w");
   slow.pass(milliseconds(400));
   call();
-  // Its call is answered after 0.5 s, and the next one due 2.3 s later: it is
-  // on its way. The others are silent.
+  // The call of w is answered after 0.5 s, and its next one is due 2.3 s later,
+  // so that call is still in transit. The other workers are silent.
   slow.pass(milliseconds(3'100));
   slow.submit(1, {test_world::make_step(1)});
   LONGS_EQUAL(1, slow.controller.book().runs_on(worker_id("w")).size());
 }
 
-TEST(held_call, only_calls_that_tell_nothing_are_held) {
+TEST(held_call, call_with_news_is_held) {
   world.workers["w0"].set_draining(true);
   world.workers["w0"].set_remaining_ms(10'000);
   call("w0");
@@ -106,7 +107,7 @@
   CHECK_FALSE(answers.back().held());
 }
 
-TEST(held_call, held_calls_filled_the_window_of_their_box) {
+TEST(held_call, held_calls_fill_intake_window) {
   test_clock clock;
   metrics_registry metrics;
   intake_settings settings;
--- a/fleet/intake-directory-test.cc
+++ b/fleet/intake-directory-test.cc
@@ -1,4 +1,4 @@
-// Where workers are sent to call.
+// Selection of the box that workers call.
 #include "fleet/intake-directory.h"
 
 #include <CppUTest/TestHarness.h>
@@ -8,32 +8,32 @@
 namespace {
 
 fleet::box_hello hello(const char* data_centre, const char* address,
-                       std::optional<uint64_t> way_ms) {
+                       std::optional<uint64_t> rtt_ms) {
   fleet::box_hello out;
   out.set_data_centre(data_centre);
   out.set_beat_address(address);
-  if (way_ms) out.set_way_ms(*way_ms);
+  if (rtt_ms) out.set_way_ms(*rtt_ms);
   return out;
 }
 
 }  // namespace
 
-TEST_GROUP(intake_ways){};
+TEST_GROUP(intake_directory_rtt){};
 
-// Workers were sent back to the box of their data centre while it could not
-// pass their calls on.
-TEST(intake_ways, nobody_is_sent_to_a_box_with_a_slow_way) {
+// Workers were sent back to the box of their data centre while that box could
+// not forward their calls.
+TEST(intake_directory_rtt, workers_sent_to_box_with_slow_rtt) {
   const struct {
     const char* name;
     std::optional<uint64_t> near;
     std::optional<uint64_t> far;
-    const char* sent_to;
+    const char* expected;
   } rows[] = {
-      {"no ways are known", {}, {}, "near:1"},
-      {"both are short", 20, 20, "near:1"},
+      {"no round-trip times", {}, {}, "near:1"},
+      {"both are fast", 20, 20, "near:1"},
       {"the near one is slow", 900, 20, "far:1"},
       {"both are slow", 900, 700, "near:1"},
-      {"the far one is not known", 900, {}, "near:1"},
+      {"the far one is unknown", 900, {}, "near:1"},
   };
   for (const auto& it : rows) {
     intake_directory directory(box_id("self"), data_centre_id("c"), "self:1");
@@ -42,8 +42,8 @@
     directory.heard(box_id("b1"), hello("a", "near:1", it.near), now);
     directory.heard(box_id("b2"), hello("b", "far:1", it.far), now);
     const std::string found = directory.address_for("a", "w", now);
-    // Without the near one all that are not slow come into question.
-    const bool same = found == it.sent_to;
+    // Without the near box all boxes that are not slow are candidates.
+    const bool same = found == it.expected;
     CHECK_TRUE_TEXT(same, it.name);
   }
 }
--- a/fleet/job-book-test.cc
+++ b/fleet/job-book-test.cc
@@ -1,5 +1,5 @@
-// The replicated state: equal after a save and a load, and deaf to what does
-// not fit it.
+// The replicated state is equal after save and load, and ignores commands that
+// do not match it.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(job_book, start_that_does_not_fit_does_nothing) {
+TEST(job_book, outdated_start_changes_state) {
   put_config();
   submit(7, test_world::make_step(2));
   start(7, 0, 1, "a");
@@ -60,7 +60,7 @@
   LONGS_EQUAL(1, book.runs_on(worker_id("a")).size());
 }
 
-TEST(job_book, end_counts_once_and_only_for_its_run) {
+TEST(job_book, end_counts_twice_or_for_other_run) {
   put_config();
   submit(7, test_world::make_step(1));
   start(7, 0, 1, "a");
@@ -72,7 +72,7 @@
   CHECK_TRUE(task(7, 0).phase == task_phase::running);
 }
 
-TEST(job_book, good_end_after_its_run_was_given_up_still_counts) {
+TEST(job_book, late_successful_end_of_lost_run_is_dropped) {
   put_config();
   submit(7, test_world::make_step(1));
   start(7, 0, 1, "a");
@@ -87,7 +87,7 @@
   LONGS_EQUAL(fleet::job_succeeded, book.find(job_number(7))->phase);
 }
 
-TEST(job_book, one_good_end_stands_for_the_gang) {
+TEST(job_book, successful_member_end_does_not_complete_gang) {
   put_config();
   fleet::step_spec step = test_world::make_step(3);
   step.set_gang(true);
@@ -100,7 +100,7 @@
   CHECK_TRUE(book.runs().empty());
 }
 
-TEST(job_book, any_members_checkpoint_serves_the_gang) {
+TEST(job_book, member_checkpoint_is_not_shared_with_gang) {
   put_config();
   fleet::step_spec step = test_world::make_step(2);
   step.set_gang(true);
@@ -111,7 +111,7 @@
   STRCMP_EQUAL("half", task(7, 1).saved.c_str());
 }
 
-TEST(job_book, gang_fails_after_its_attempts) {
+TEST(job_book, gang_exceeds_max_attempts) {
   put_config(2);
   fleet::step_spec step = test_world::make_step(2);
   step.set_gang(true);
@@ -124,7 +124,7 @@
   LONGS_EQUAL(fleet::job_failed, book.find(job_number(7))->phase);
 }
 
-TEST(job_book, save_and_load_give_the_same_book) {
+TEST(job_book, loaded_state_differs_from_saved) {
   put_config();
   submit(7, test_world::make_step(3));
   submit(8, test_world::make_step(1));
@@ -146,9 +146,9 @@
   STRCMP_EQUAL("quarter", other.find({job_number(7), 0, 0, 1})->saved.c_str());
 }
 
-// The leave is known to the next leader, and so are the runs whose ends may
-// still come.
-TEST(job_book, leave_keeps_the_runs_and_is_saved_until_the_life_is_over) {
+// The next leader knows of the leave, and of the runs whose ends may still
+// arrive.
+TEST(job_book, leave_or_its_runs_are_lost_before_incarnation_ends) {
   put_config();
   submit(7, test_world::make_step(2));
   start(7, 0, 1, "a");
@@ -173,24 +173,24 @@
   LONGS_EQUAL(0, book.workers().size());
 }
 
-TEST(job_book, jobs_that_cannot_be_are_told) {
+TEST(job_book, invalid_job_is_accepted) {
   struct row {
-    int fault;
-    bool sound;
+    int error;
+    bool valid;
   };
   const row rows[] = {
       {0, true}, {1, false}, {2, false}, {3, false}, {4, false}};
   for (const row& it : rows) {
     fleet::fleet_job_spec spec;
-    if (it.fault != 1) *spec.add_steps() = test_world::make_step(1);
-    if (it.fault == 2) spec.mutable_steps(0)->set_count(0);
-    if (it.fault == 3) spec.mutable_steps(0)->add_depends_on(0);
-    if (it.fault == 4) spec.mutable_steps(0)->set_count(1'000'000);
-    CHECK_EQUAL(it.sound, check_job(spec).ok());
+    if (it.error != 1) *spec.add_steps() = test_world::make_step(1);
+    if (it.error == 2) spec.mutable_steps(0)->set_count(0);
+    if (it.error == 3) spec.mutable_steps(0)->add_depends_on(0);
+    if (it.error == 4) spec.mutable_steps(0)->set_count(1'000'000);
+    CHECK_EQUAL(it.valid, check_job(spec).ok());
   }
 }
 
-TEST(job_book, longest_prefix_of_the_host_wins) {
+TEST(job_book, queue_with_shorter_prefix_wins) {
   fleet::fleet_config config = test_world::make_config(1);
   fleet::queue_route longer = config.queues(0);
   longer.set_name("longer");
--- a/fleet/late-intake-test.cc
+++ b/fleet/late-intake-test.cc
@@ -1,5 +1,5 @@
-// A control box to which the leader's answers are on their way for long, as
-// behind a link that is full; the leader and the other boxes are on time.
+// A control box with slow round trips to the leader, as behind a saturated
+// link, while the leader and the other boxes are fast.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/busy-leader-test-rows.h"
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// A worker calls three times in its lease, whatever the load.
-constexpr milliseconds most_unread = max_lease_duration / 3;
+/// A worker calls three times per lease at any load.
+constexpr milliseconds max_unread = max_lease_duration / 3;
 
 struct row {
   const char* name;
   milliseconds answers;
   milliseconds calls{0};
-  // Boxes, of four, whose way to the leader is so long.
+  // Number of slow boxes out of four.
   int boxes = 1;
-  milliseconds most = most_unread;
+  milliseconds max_unread_time = max_unread;
 };
 
-busy::outcome play(const row& it) {
+busy::outcome run_row(const row& it) {
   setting world_setting{it.name, 880, {}};
   world_setting.jobs_per_s = 40;
   world_setting.sends_home = true;
@@ -40,9 +40,9 @@
 
 TEST_GROUP(late_intake){};
 
-// Workers whose calls such a box put off time and again were never heard, were
-// given up on, and what they had done started again.
-TEST(late_intake, workers_that_a_box_puts_off_are_heard_all_the_same) {
+// Workers whose calls a slow box put off repeatedly never reached the leader.
+// They were declared lost, and their completed tasks were started again.
+TEST(late_intake, workers_put_off_by_slow_box_are_declared_lost) {
   const row rows[] = {
       {"half a second late", milliseconds(500)},
       {"nearly too late", milliseconds(850)},
@@ -50,15 +50,16 @@
       {"seconds late", milliseconds(4'000)},
       {"calls are late", milliseconds(0), milliseconds(850)},
       {"three of four", milliseconds(500), milliseconds(0), 3},
-      // Nobody is better off elsewhere: a turn each within the lease.
+      // No box is faster: each worker gets a turn within its lease.
       {"all of them", milliseconds(500), milliseconds(0), 4,
        max_lease_duration},
   };
   for (const row& it : rows) {
-    const busy::outcome out = play(it);
+    const busy::outcome out = run_row(it);
     STRCMP_EQUAL_TEXT("", out.wrong.c_str(), it.name);
     CHECK_TRUE_TEXT(out.done > 0, it.name);
-    busy::check_within(it.most, out.longest_unread, it.name, "unread");
+    busy::check_within(it.max_unread_time, out.longest_unread, it.name,
+                       "unread");
     LONGS_EQUAL_TEXT(0, out.started_again, it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, it.name);
   }
--- a/fleet/other-writer-test.cc
+++ b/fleet/other-writer-test.cc
@@ -1,10 +1,9 @@
-// Heartbeats that another writer sent under a worker's id, once or for seconds
-// and in turn with the worker's own: they change nothing of what is believed.
+// Heartbeats that another sender writes under a worker's id, once or repeatedly
+// and interleaved with the worker's own, must not change the leader's view.
 //
-// Found by reading and by this test, no log shows it. Through a control box
-// that passes heartbeats on, a copy with an older sequence was told to the
-// leader as the state that later differences build on; a copy of which the
-// service was not known made the worker's own waiting call end without orders.
+// An intake box forwarded a copy with an older sequence to the leader as the
+// base of later differences. A copy with an unknown pool made the worker's own
+// pending call end without orders. No log of a deployment shows either failure.
 #include <CppUTest/TestHarness.h>
 
 #include <functional>
@@ -19,13 +18,13 @@
 namespace {
 
 constexpr uint64_t born = 1'768'000'100'000;
-constexpr int64_t first_clock = 500'000;
-constexpr milliseconds call_pause{200};
+constexpr int64_t first_clock_ms = 500'000;
+constexpr milliseconds call_interval{200};
 
-/// A worker that runs what it is told, and does not end it.
-class true_worker {
+/// The real worker: it starts the runs that it is ordered and never ends them.
+class real_worker {
  public:
-  true_worker(boxes& all, road calls_by) : boxes_(all), road_(calls_by) {
+  real_worker(boxes& all, road calls_via) : boxes_(all), road_(calls_via) {
     beat_.set_worker("i-1");
     beat_.set_born(born);
     beat_.set_pool("pool");
@@ -36,7 +35,7 @@
   fleet::worker_orders call() {
     beat_.set_sequence(beat_.sequence() + 1);
     beat_.set_clock_ms(
-        static_cast<uint64_t>(first_clock + boxes_.clock.now().count()));
+        static_cast<uint64_t>(first_clock_ms + boxes_.clock.now().count()));
     const fleet::worker_orders orders = send(beat_).orders();
     for (const fleet::start_order& start : orders.starts()) {
       fleet::running_row& row = *beat_.add_running();
@@ -59,27 +58,28 @@
   fleet::worker_beat beat_;
 };
 
-/// What the other writer makes of a copy of the worker's last heartbeat.
+/// A change that the other sender makes to a copy of the worker's last
+/// heartbeat.
 struct row {
   const char* name;
   std::function<void(fleet::worker_beat&)> change;
 };
 
 const row rows[] = {
-    {"a pool that is not named",
+    {"an unknown pool",
      [](auto& it) {
        it.set_pool("none");
        it.set_sequence(it.sequence() + 1);
      }},
-    {"a pool of others",
+    {"another known pool",
      [](auto& it) {
        it.set_pool("other");
        it.set_sequence(it.sequence() + 1);
      }},
-    {"an older one again",
+    {"an older heartbeat again",
      [](auto& it) {
        it.set_sequence(1);
-       it.set_clock_ms(first_clock + 100'000);
+       it.set_clock_ms(first_clock_ms + 100'000);
        it.clear_running();
      }},
     {"a clock far ahead",
@@ -94,13 +94,13 @@
        it.set_clock_ms(it.clock_ms() - 10'000);
        it.clear_running();
      }},
-    {"no birth",
+    {"no start time",
      [](auto& it) {
        it.clear_born();
        it.set_sequence(it.sequence() + 1);
        it.clear_running();
      }},
-    {"no birth, and far ahead",
+    {"no start time, and far ahead",
      [](auto& it) {
        it.clear_born();
        it.set_sequence(it.sequence() + 1'000'000);
@@ -117,20 +117,20 @@
 config.add_pools()->set_name("other");
 all.ask(request);
 }
-static void run_two(boxes& all, true_worker& it) {
+static void start_two_runs(boxes& all, real_worker& it) {
   it.call();
-  fleet::step_spec lasting = test_world::make_step(1);
-  lasting.set_long_running(true);
+  fleet::step_spec long_running_step = test_world::make_step(1);
+  long_running_step.set_long_running(true);
   all.ask(test_world::make_submit(2, {test_world::make_step(1)}));
-  all.ask(test_world::make_submit(3, {lasting}));
+  all.ask(test_world::make_submit(3, {long_running_step}));
   for (int i = 0; i < 4; ++i) {
-    all.pass(call_pause);
+    all.pass(call_interval);
     it.call();
   }
   LONGS_EQUAL(2, it.beat().running_size());
 }
-/// The worker's call goes on from where it was.
-static void goes_on(true_worker& it, const char* name) {
+/// The worker's next call is answered as if there were no copy.
+static void check_next_call(real_worker& it, const char* name) {
   const fleet::worker_orders orders = it.call();
   CHECK_TRUE_TEXT(orders.hold_ms() > 0, name);
   LONGS_EQUAL_TEXT(0, orders.starts_size(), name);
@@ -140,28 +140,28 @@
 }
 ;
 
-TEST(other_writer, copies_under_a_workers_id_change_nothing) {
+TEST(other_writer, copy_under_a_workers_id_changes_state) {
   for (const road by : {road::direct, road::intake}) {
     for (const row& it : rows) {
       boxes all;
       configure(all);
-      true_worker worker(all, by);
-      run_two(all, worker);
+      real_worker worker(all, by);
+      start_two_runs(all, worker);
       for (int i = 0; i < 25; ++i) {
         fleet::worker_beat copy = worker.beat();
         it.change(copy);
         const fleet::fleet_response response = worker.send(copy);
         LONGS_EQUAL_TEXT(0, response.orders().hold_ms(), it.name);
-        all.pass(call_pause);
-        goes_on(worker, it.name);
+        all.pass(call_interval);
+        check_next_call(worker, it.name);
       }
       LONGS_EQUAL_TEXT(1, all.book().runs().size(), it.name);
     }
   }
 }
 
-// The worker's own call waits for its answer when the copy comes.
-TEST(other_writer, call_that_waits_is_answered_all_the_same) {
+// The worker's own call is pending when the copy arrives.
+TEST(other_writer, copy_ends_the_workers_pending_call) {
   for (const row& it : rows) {
     test_clock clock;
     metrics_registry metrics;
@@ -172,11 +172,11 @@
     beat.set_pool("pool");
     beat.set_address("place:1");
     beat.set_sequence(7);
-    beat.set_clock_ms(first_clock + 120'000);
-    fleet::fleet_response told;
+    beat.set_clock_ms(first_clock_ms + 120'000);
+    fleet::fleet_response worker_response;
     int answers = 0;
     intake.take(beat, [&](const fleet::fleet_response& response) {
-      told = response;
+      worker_response = response;
       ++answers;
     });
     fleet::worker_beat copy = beat;
@@ -194,44 +194,44 @@
     }
     intake.handle_answers(from_leader);
     LONGS_EQUAL_TEXT(1, answers, it.name);
-    LONGS_EQUAL_TEXT(1, told.orders().hold_ms(), it.name);
+    LONGS_EQUAL_TEXT(1, worker_response.orders().hold_ms(), it.name);
   }
 }
 
-TEST(other_writer, id_that_never_was_gets_nothing_where_its_pool_is_unknown) {
+TEST(other_writer, unknown_id_with_unknown_pool_is_accepted) {
   for (const road by : {road::direct, road::intake}) {
     boxes all;
     configure(all);
-    true_worker worker(all, by);
-    run_two(all, worker);
-    fleet::worker_beat stranger = worker.beat();
-    stranger.set_worker("i-2");
-    stranger.set_pool("none");
+    real_worker worker(all, by);
+    start_two_runs(all, worker);
+    fleet::worker_beat unknown_worker = worker.beat();
+    unknown_worker.set_worker("i-2");
+    unknown_worker.set_pool("none");
     for (int i = 0; i < 10; ++i) {
-      stranger.set_sequence(stranger.sequence() + 1);
-      stranger.set_clock_ms(stranger.clock_ms() + 200);
-      LONGS_EQUAL(fleet::fleet_invalid, worker.send(stranger).status());
-      all.pass(call_pause);
-      goes_on(worker, "beside a stranger");
+      unknown_worker.set_sequence(unknown_worker.sequence() + 1);
+      unknown_worker.set_clock_ms(unknown_worker.clock_ms() + 200);
+      LONGS_EQUAL(fleet::fleet_invalid, worker.send(unknown_worker).status());
+      all.pass(call_interval);
+      check_next_call(worker, "next to an unknown worker");
     }
     LONGS_EQUAL(1, all.leader().workers().views().size());
   }
 }
 
-// A copy that passes for the next call: what the worker itself says later, by
-// its clock, goes before it though its sequence is lower.
-TEST(other_writer, sequence_that_ran_ahead_is_set_right) {
+// A copy is accepted as the worker's next call. The worker's own later
+// heartbeat takes precedence by its clock, although its sequence is lower.
+TEST(other_writer, sequence_of_copy_blocks_the_worker) {
   for (const road by : {road::direct, road::intake}) {
     boxes all;
     configure(all);
-    true_worker worker(all, by);
-    run_two(all, worker);
+    real_worker worker(all, by);
+    start_two_runs(all, worker);
     fleet::worker_beat copy = worker.beat();
     copy.set_sequence(copy.sequence() + 1'000'000);
     worker.send(copy);
     for (int i = 0; i < 10; ++i) {
-      all.pass(call_pause);
-      goes_on(worker, "after a sequence that ran ahead");
+      all.pass(call_interval);
+      check_next_call(worker, "after a copy with a higher sequence");
     }
   }
 }
--- a/fleet/saved-book-test.cc
+++ b/fleet/saved-book-test.cc
@@ -1,8 +1,8 @@
-// A saved state that can't be read whole takes the place of nothing, and a
-// command of a later version is told apart.
+// An incomplete snapshot replaces nothing, and a command of a later version is
+// recognized.
 //
-// Before, a snapshot that was cut short was taken for an empty state: every job
-// and configuration that was acknowledged was gone, without a word.
+// A truncated snapshot was loaded as an empty state, so that every acknowledged
+// job and configuration was lost without an error.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A world with a configuration, a job that runs and a worker that left.
+/// Saved state with a configuration, a running job and a worker that left.
 std::string make_saved() {
   test_world world;
   world.configure();
@@ -30,7 +30,7 @@
 
 TEST_GROUP(saved_book){};
 
-TEST(saved_book, state_that_is_cut_short_changes_nothing) {
+TEST(saved_book, truncated_state_replaces_current_state) {
   const std::string saved = make_saved();
   job_book whole;
   CHECK_TRUE(whole.load(saved).ok());
@@ -45,7 +45,7 @@
   CHECK_TRUE(refused > static_cast<int>(saved.size() / 2));
 }
 
-TEST(saved_book, state_that_names_what_it_lacks_is_refused) {
+TEST(saved_book, state_with_dangling_reference_is_loaded) {
   const std::string saved = make_saved();
   struct row {
     const char* name;
@@ -69,7 +69,7 @@
   }
 }
 
-TEST(saved_book, command_of_a_later_version_is_not_known) {
+TEST(saved_book, command_of_later_version_is_accepted) {
   fleet::fleet_command command;
   CHECK_FALSE(is_supported_command(command));
   command.mutable_cancel()->add_jobs(7);
--- a/fleet/worker-drain-test.cc
+++ b/fleet/worker-drain-test.cc
@@ -1,16 +1,12 @@
-// Workers tell how long they remain while they drain.
+// Draining workers report how long they remain.
 //
-// What happened: a batch task ended well at a draining worker and was started
-// again elsewhere 200 to 330 ms later, in three of six runs.
-// Sequence: the worker's last heartbeat was read 139 ms before the end; 37 ms
-// after the end its leave was read; no heartbeat came after that, as a worker
-// calls 50 ms after an end. The leader never heard of the end.
-// Cause: batch work went on until the worker was gone, so that what ended after
-// its last heartbeat could be told to nobody.
-// Settled by the calls of the workers at the boxes that read them: 0 of 65
-// leaves were followed by a heartbeat, and `worker-leaves` told
-// `remaining-ms` less `heard-ms-ago` between -87 and 1 (61 leaves): they leave
-// when they said that they would.
+// A batch task that ended successfully on a draining worker was started again
+// elsewhere 200 to 330 ms later, in three of six runs. Batch tasks ran until
+// the worker was gone, and a worker calls 50 ms after an end: an end after the
+// last heartbeat (139 ms before the end; the leave came 37 ms after it) was
+// never reported. No heartbeat followed any of 65 leaves, and workers leave
+// when they announced it: `remaining-ms` less `heard-ms-ago` of `worker-leaves`
+// was between -87 and 1 in 61 leaves.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -20,7 +16,7 @@
 TEST_GROUP(worker_drain) {
   test_world world;
 
-  /// One task at work at `a`, which drains for so long yet.
+  /// Runs one task on worker `a`, which then drains for `remaining_ms`.
   fleet::worker_orders drain(const fleet::step_spec& step,
                              uint64_t remaining_ms) {
     world.configure();
@@ -34,37 +30,41 @@
   }
 };
 
-// With stops of 1 s, heartbeats 200 ms apart and 0.5 s for the log, 1.9 s
-// before the worker is gone. Lasting tasks serve to the end.
-TEST(worker_drain, work_is_stopped_while_its_end_can_still_be_told) {
+// With 1 s to stop a task, heartbeats every 200 ms and 0.5 s for the log, tasks
+// are stopped 1.9 s before the worker is gone. Long-running tasks serve until
+// the worker goes.
+TEST(worker_drain, task_is_stopped_too_late_to_report_its_end) {
   struct row {
     const char* name;
     uint64_t remaining_ms;
-    bool lasting;
+    bool long_running;
     int stops;
   };
   const row rows[] = {
-      {"long before", 4'000, false, 0},    {"before", 1'901, false, 0},
-      {"shortly before", 1'900, false, 1}, {"at the end", 0, false, 1},
-      {"lasting, before", 1'901, true, 0}, {"lasting", 1'900, true, 0},
-      {"lasting, at the end", 0, true, 0},
+      {"long before", 4'000, false, 0},
+      {"before", 1'901, false, 0},
+      {"shortly before", 1'900, false, 1},
+      {"at the end", 0, false, 1},
+      {"long-running, before", 1'901, true, 0},
+      {"long-running", 1'900, true, 0},
+      {"long-running, at the end", 0, true, 0},
   };
   for (const row& it : rows) {
     world.~test_world();
     new (&world) test_world();
     fleet::step_spec step = test_world::make_step(1);
-    step.set_long_running(it.lasting);
+    step.set_long_running(it.long_running);
     const fleet::worker_orders orders = drain(step, it.remaining_ms);
     LONGS_EQUAL_TEXT(it.stops, orders.stops_size(), it.name);
   }
 }
 
-TEST(worker_drain, what_was_stopped_starts_elsewhere_where_it_stood) {
+TEST(worker_drain, stopped_task_loses_its_checkpoint) {
   fleet::step_spec step = test_world::make_step(1);
   step.set_saves_progress(true);
   const fleet::worker_orders orders = drain(step, 500);
   LONGS_EQUAL(1, orders.stops_size());
-  // Not before the worker lists the end.
+  // The task does not start elsewhere before the worker lists the end.
   world.beat("b");
   LONGS_EQUAL(0, world.workers["b"].running_size());
   world.end("a", orders.stops(0).task(), 1, fleet::run_stopped, "half");
@@ -74,7 +74,7 @@
   STRCMP_EQUAL("half", world.workers["b"].running(0).saved().c_str());
 }
 
-TEST(worker_drain, good_end_that_crosses_the_stop_counts) {
+TEST(worker_drain, successful_end_during_stop_is_dropped) {
   const fleet::worker_orders orders = drain(test_world::make_step(1), 500);
   LONGS_EQUAL(1, orders.stops_size());
   world.end("a", orders.stops(0).task(), 1, fleet::run_done);
--- a/fleet/worker-leave-test.cc
+++ b/fleet/worker-leave-test.cc
@@ -1,18 +1,15 @@
-// Workers that leave in order: their last heartbeat and their leave come by
-// different roads, in any order.
+// Workers that leave in order: the last heartbeat and the leave take different
+// paths and arrive in any order.
 //
-// Symptom: a batch task ended well at a draining worker, was started again at
-// another one, and then its good end was acknowledged. Found by this table, the
-// seeded world and by reading; in logs of deployments it was not met yet.
-// Sequence: the worker lists the end in its last heartbeat, which another
-// control box reads and passes on up to 10 ms later as a difference; its leave
-// goes to the leader at once and overtakes it.
-// Cause: the leave closed all runs of the worker and the leader forgot it. The
-// heartbeat was asked for in whole as that of an unknown life, the task started
-// elsewhere meanwhile, and the book ignored the end but raised the number that
-// answers acknowledge.
-// Settled by the first failing order: leave, commit, plan, heartbeat gives
-// "started again, acknowledged".
+// A batch task that ended successfully on a draining worker was started again
+// on another one, and its end was acknowledged afterwards. The last heartbeat
+// lists the end and reaches the leader through another control box, up to 10 ms
+// later as a difference, while the leave goes to the leader directly and
+// overtakes it. The leave closed all runs of the worker and made the leader
+// forget it. The leader then requested the whole heartbeat as for an unknown
+// incarnation, started the task elsewhere in the meantime, and ignored the end,
+// but raised the number of the last acknowledged end. The order leave, commit,
+// plan, heartbeat failed this way. No log of a deployment shows the failure.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -27,12 +24,12 @@
 
 const fleet::task_ref task = to_ref({job_number(7), 0, 0, 0});
 
-/// One job of one task, at work at the draining worker `a`, which calls by way
-/// of another control box. What comes to the leader waits for `step`.
+/// One job of one task, running on the draining worker `a`, which calls through
+/// another control box. Calls reach the leader by `deliver`.
 class leave_world : public test_world {
  public:
   leave_world() {
-    forget_told();
+    switch_box();
     configure();
     submit(7, {make_step(1)});
     beat("a");
@@ -45,16 +42,18 @@
     commit();
   }
 
-  /// The worker calls the other box; the call is that old when it is read.
+  /// The worker calls the other box, which reads the call `age` later.
   void call(milliseconds age) {
     fleet::worker_beat& it = workers["a"];
     it.set_sequence(it.sequence() + 1);
     it.set_clock_ms(static_cast<uint64_t>((clock.now() - age).count()));
-    intake->take(it, [this](const fleet::fleet_response& r) { answered_a(r); });
+    intake->take(
+        it, [this](const fleet::fleet_response& r) { record_answer_to_a(r); });
   }
-  /// From now on another box takes the calls, which was told nothing yet.
-  void forget_told() { intake.emplace(intake_settings{}, clock, metrics); }
-  /// What the other box holds is passed on, and anew where it is asked for.
+  /// Sends further calls to another box, which has no state yet.
+  void switch_box() { intake.emplace(intake_settings{}, clock, metrics); }
+  /// Forwards the pending calls of the other box, again if the leader requests
+  /// it.
   void deliver() {
     for (int i = 0; i < 3 && intake->has_pending_calls(); ++i) {
       const fleet::beat_batch batch = intake->collect("leader");
@@ -72,12 +71,12 @@
       leave_status.push_back(r.status());
     });
   }
-  /// Another worker asks for work, and the leader plans.
-  void plan() {
-    starts_elsewhere += ask_b();
+  /// Another worker calls, and the leader places tasks.
+  void place_tasks() {
+    starts_elsewhere += call_from_b();
     controller.settle();
   }
-  int ask_b() {
+  int call_from_b() {
     const int n = workers.contains("b") ? workers["b"].running_size() : 0;
     heartbeat_quietly("b");
     return workers["b"].running_size() - n;
@@ -95,17 +94,17 @@
       }
     });
   }
-  /// The leadership is lost and won anew; what is under way lasts or not.
-  void elect(bool lasts) {
-    if (lasts) commit();
+  /// Changes the leadership; pending proposals are committed or dropped.
+  void change_leader(bool commits) {
+    if (commits) commit();
     log.proposed.clear();
     controller.leads(false);
     ++log.leader_term;
     controller.leads(true);
     intake->leader_changed();
   }
-  /// Long enough for a lease to be over.
-  void go_on() {
+  /// Runs on until a lease has expired.
+  void run_past_lease() {
     for (int i = 0; i < 20; ++i) {
       heartbeat_quietly("b");
       commit();
@@ -124,21 +123,22 @@
   uint64_t acknowledged = 0;
 
  private:
-  void answered_a(const fleet::fleet_response& r) {
+  void record_answer_to_a(const fleet::fleet_response& r) {
     acknowledged = std::max(acknowledged, r.orders().last_end());
   }
 };
 
-struct kind_of_call {
+struct call_kind {
   const char* name;
   bool difference;
   milliseconds age;
 };
 
-/// The events: H heartbeat with the end arrives, L leave arrives, C all that
-/// is proposed lasts, P another worker asks and the leader plans, E change of
-/// leader after which all lasts, F one after which nothing under way does.
-void play(leave_world& world, char event) {
+/// Plays an event: H the heartbeat with the end arrives, L the leave arrives, C
+/// all proposals are committed, P another worker calls and the leader places
+/// tasks, E the leader changes and all proposals are committed, F the leader
+/// changes and all pending proposals are dropped.
+void play_event(leave_world& world, char event) {
   switch (event) {
     case 'H':
       return world.deliver();
@@ -147,30 +147,31 @@
     case 'C':
       return world.commit();
     case 'P':
-      return world.plan();
+      return world.place_tasks();
     default:
-      return world.elect(event == 'E');
+      return world.change_leader(event == 'E');
   }
 }
 
-std::string play_all(const std::string& order, const kind_of_call& kind) {
+std::string play_all(const std::string& order, const call_kind& kind) {
   leave_world world;
   world.end("a", task, 1, fleet::run_done);
-  // Another box was told nothing of the worker before.
-  if (!kind.difference) world.forget_told();
-  // A late call was sent after the last one that came: its clock shows so.
+  // The box knows nothing of the worker, so it forwards the whole heartbeat.
+  if (!kind.difference) world.switch_box();
+  // A late call was sent after the last one that arrived, as its clock shows.
   world.pass(kind.age);
   world.call(kind.age);
-  for (const char event : order) play(world, event);
-  world.go_on();
-  const bool again = world.started["b"] > 0;
-  if (again && world.acknowledged > 0) return "started again, acknowledged";
-  // Lost with the leader that had taken it in.
+  for (const char event : order) play_event(world, event);
+  world.run_past_lease();
+  const bool started_again = world.started["b"] > 0;
+  if (started_again && world.acknowledged > 0)
+    return "started again, acknowledged";
+  // The end was lost with the leader that had received it.
   if (order.find('F') != std::string::npos &&
       order.find('H') < order.find('F')) {
     return "";
   }
-  if (again) return "started again";
+  if (started_again) return "started again";
   return world.succeeded() ? "" : "not counted";
 }
 
@@ -180,7 +181,7 @@
   leave_world world;
 
   void check_orders(std::string order) {
-    const kind_of_call kinds[] = {
+    const call_kind kinds[] = {
         {"difference", true, milliseconds(0)},
         {"whole", false, milliseconds(0)},
         {"late difference", true, milliseconds(1'500)},
@@ -188,13 +189,13 @@
     };
     std::sort(order.begin(), order.end());
     do {
-      for (const kind_of_call& it : kinds) {
+      for (const call_kind& it : kinds) {
         const std::string wrong = play_all(order, it);
         STRCMP_EQUAL_TEXT("", wrong.c_str(), (order + ", " + it.name).c_str());
       }
     } while (std::next_permutation(order.begin(), order.end()));
   }
-  /// The leave lasts, and so long passes.
+  /// Commits the leave and lets the time pass.
   void leave_and_pass(milliseconds n) {
     world.leave();
     world.commit();
@@ -202,17 +203,17 @@
   }
 };
 
-TEST(worker_leave, good_end_counts_in_any_order) { check_orders("HLCP"); }
+TEST(worker_leave, successful_end_is_dropped) { check_orders("HLCP"); }
 
-TEST(worker_leave, good_end_counts_in_any_order_when_leaders_change) {
+TEST(worker_leave, successful_end_is_dropped_at_leader_change) {
   check_orders("HLCPE");
 }
 
-TEST(worker_leave, good_end_counts_or_is_not_acknowledged_when_leaders_fail) {
+TEST(worker_leave, uncounted_end_is_acknowledged_after_leader_failure) {
   check_orders("HLCPF");
 }
 
-TEST(worker_leave, run_without_an_end_starts_again_once_no_end_can_come) {
+TEST(worker_leave, run_starts_again_while_its_end_may_arrive) {
   leave_and_pass(milliseconds(900));
   world.heartbeat_quietly("b");
   world.commit();
@@ -223,7 +224,7 @@
   LONGS_EQUAL(1, world.started["b"]);
 }
 
-TEST(worker_leave, failed_end_on_its_way_counts_as_an_attempt) {
+TEST(worker_leave, failed_end_in_transit_is_not_counted) {
   world.end("a", task, 1, fleet::run_failed);
   world.call(milliseconds(0));
   world.leave();
@@ -233,7 +234,7 @@
   LONGS_EQUAL(1, world.controller.book().find(to_key(task))->failures);
 }
 
-TEST(worker_leave, life_that_is_over_gets_and_is_told_nothing) {
+TEST(worker_leave, ended_incarnation_gets_work_or_acknowledgement) {
   struct row {
     const char* name;
     bool difference;
@@ -253,8 +254,8 @@
     new (&world) leave_world();
     world.end("a", task, 1, fleet::run_done);
     leave_and_pass(it.after);
-    if (it.next_leader) world.elect(true);
-    if (!it.difference) world.forget_told();
+    if (it.next_leader) world.change_leader(true);
+    if (!it.difference) world.switch_box();
     world.workers["a"].set_draining(false);
     world.call(it.age);
     world.deliver();
@@ -266,7 +267,7 @@
   }
 }
 
-TEST(worker_leave, next_leader_knows_of_it_from_a_snapshot) {
+TEST(worker_leave, leave_is_missing_from_snapshot) {
   world.leave();
   world.commit();
   world.end("a", task, 1, fleet::run_done);
@@ -277,17 +278,17 @@
   world.controller.leads(true);
   world.pass(milliseconds(500));
   CHECK_FALSE(world.controller.book().runs_on(worker_id("a")).empty());
-  // The lease would be over after 4.2 s only.
+  // The lease would expire only after 4.2 s.
   world.pass(milliseconds(1'000));
   CHECK_TRUE(world.controller.book().runs_on(worker_id("a")).empty());
 }
 
-TEST(worker_leave, leave_is_acknowledged_once_it_lasts) {
+TEST(worker_leave, leave_is_acknowledged_before_commit) {
   world.leave();
   LONGS_EQUAL(0, world.leave_status.size());
   world.commit();
   LONGS_EQUAL(1, world.leave_status.size());
-  // The call is sent again where its answer was lost.
+  // The worker repeats the call if the answer was lost.
   for (const milliseconds later : {milliseconds(0), milliseconds(3'000)}) {
     world.pass(later);
     world.leave();
@@ -299,7 +300,7 @@
   for (const auto it : world.leave_status) LONGS_EQUAL(fleet::fleet_ok, it);
 }
 
-TEST(worker_leave, leave_that_was_not_recorded_gives_up_on_nothing) {
+TEST(worker_leave, unrecorded_leave_closes_runs) {
   world.log.refuses = true;
   world.leave();
   world.controller.settle();
@@ -309,7 +310,7 @@
   CHECK_FALSE(world.controller.book().runs_on(worker_id("a")).empty());
 }
 
-TEST(worker_leave, leader_that_was_held_up_reads_on_before_it_gives_up) {
+TEST(worker_leave, stalled_leader_closes_runs_before_reading_ends) {
   world.end("a", task, 1, fleet::run_done);
   world.call(milliseconds(0));
   world.leave();
@@ -322,9 +323,9 @@
   CHECK_TRUE(world.succeeded());
 }
 
-TEST(worker_leave, life_that_another_replaced_gets_and_is_told_nothing) {
+TEST(worker_leave, replaced_incarnation_gets_work_or_acknowledgement) {
   world.workers["a"].set_machine("m");
-  world.forget_told();
+  world.switch_box();
   world.call(milliseconds(0));
   world.deliver();
   world.pass(milliseconds(1'900));
@@ -345,7 +346,7 @@
   CHECK_TRUE(world.controller.workers().views().count(worker_id("a")) == 0);
 }
 
-TEST(worker_leave, worker_that_was_merely_silent_is_taken_in_again) {
+TEST(worker_leave, silent_worker_is_not_accepted_again) {
   world.workers["a"].set_draining(false);
   world.pass(milliseconds(70'000));
   CHECK_TRUE(world.controller.workers().views().empty());
@@ -354,14 +355,14 @@
   LONGS_EQUAL(1, world.controller.workers().views().size());
 }
 
-TEST(worker_leave, memory_of_lives_that_are_over_is_bounded) {
-  constexpr int lives = 3'000;
+TEST(worker_leave, memory_of_ended_incarnations_grows) {
+  constexpr int incarnations = 3'000;
   test_clock clock;
   worker_table table({}, clock);
-  for (int i = 0; i < lives; ++i)
+  for (int i = 0; i < incarnations; ++i)
     table.end_incarnation(worker_id(std::to_string(i)));
   CHECK_FALSE(table.is_ended(worker_id("0")));
-  CHECK_TRUE(table.is_ended(worker_id(std::to_string(lives - 1))));
+  CHECK_TRUE(table.is_ended(worker_id(std::to_string(incarnations - 1))));
   clock.advance(milliseconds(60'000));
-  CHECK_FALSE(table.is_ended(worker_id(std::to_string(lives - 1))));
+  CHECK_FALSE(table.is_ended(worker_id(std::to_string(incarnations - 1))));
 }
--- a/fleet/worker-life-test.cc
+++ b/fleet/worker-life-test.cc
@@ -1,5 +1,5 @@
-// Which workers are taken to be alive: late heartbeats, earlier lives of a
-// machine, a leader that is held up.
+// Liveness of workers: late heartbeats, earlier incarnations on a machine, and
+// a leader that stalls.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -9,7 +9,7 @@
 TEST_GROUP(worker_life) {
   test_world world;
 
-  /// One job with one task, running at worker `a` of machine `m`.
+  /// Starts one job with one task on worker `a` of machine `m`.
   void run_one() {
     world.configure();
     world.submit(7, {test_world::make_step(1)});
@@ -18,7 +18,7 @@
     world.beat("a");
     LONGS_EQUAL(1, world.workers["a"].running_size());
   }
-  /// A heartbeat of that worker as it was sent so long ago.
+  /// Delivers a heartbeat that the worker sent `age` ago.
   fleet::fleet_response late_beat(const char* worker, milliseconds age) {
     fleet::worker_beat& it = world.workers[worker];
     it.set_sequence(it.sequence() + 1);
@@ -27,12 +27,12 @@
     *request.mutable_beat() = it;
     return world.ask(request);
   }
-  bool runs_at(const char* worker) {
+  bool has_runs(const char* worker) {
     return !world.controller.book().runs_on(worker_id(worker)).empty();
   }
 };
 
-TEST(worker_life, late_heartbeat_tells_its_ends_and_grants_nothing) {
+TEST(worker_life, late_heartbeat_grants_lease_or_loses_ends) {
   run_one();
   world.end("a", to_ref({job_number(7), 0, 0, 0}), 1, fleet::run_done);
   world.clock.advance(milliseconds(3'000));
@@ -41,18 +41,18 @@
   LONGS_EQUAL(fleet::job_succeeded, world.state(7).phase());
 }
 
-TEST(worker_life, late_heartbeats_are_signs_of_life) {
+TEST(worker_life, worker_with_late_heartbeats_is_declared_lost) {
   run_one();
   for (int i = 0; i < 20; ++i) {
     world.pass(milliseconds(500));
     late_beat("a", milliseconds(1'500));
   }
-  CHECK_TRUE(runs_at("a"));
+  CHECK_TRUE(has_runs("a"));
 }
 
-TEST(worker_life, leader_that_was_held_up_calls_nobody_silent) {
+TEST(worker_life, stalled_leader_declares_worker_silent) {
   run_one();
-  // The heartbeat with the end waits unread while nothing here runs.
+  // The heartbeat with the end waits unread while the leader is stalled.
   world.end("a", to_ref({job_number(7), 0, 0, 0}), 1, fleet::run_done);
   world.clock.advance(milliseconds(9'000));
   world.controller.tick();
@@ -64,16 +64,16 @@
   LONGS_EQUAL(0, world.beat("b").starts_size());
 }
 
-TEST(worker_life, lease_of_a_silent_worker_is_over_all_the_same) {
+TEST(worker_life, lease_of_silent_worker_does_not_expire) {
   run_one();
   world.pass(milliseconds(3'900));
-  CHECK_TRUE(runs_at("a"));
+  CHECK_TRUE(has_runs("a"));
   world.pass(milliseconds(400));
-  CHECK_FALSE(runs_at("a"));
+  CHECK_FALSE(has_runs("a"));
 }
 
-// Users bear a serving task away for 9 s where there is room.
-TEST(worker_life, serving_task_of_a_lost_worker_is_away_for_less_than_9_s) {
+// Users tolerate an outage of a serving task of 9 s if there is free capacity.
+TEST(worker_life, serving_task_of_lost_worker_is_away_for_9_s) {
   test_clock clock;
   test_log log;
   metrics_registry metrics;
@@ -98,7 +98,7 @@
   controller.request(test_world::make_submit(7, {step}), [](const auto&) {});
   commit();
   uint64_t sequence = 0;
-  const auto starts_at = [&](const char* worker) {
+  const auto starts_on = [&](const char* worker) {
     fleet::fleet_request request;
     fleet::worker_beat& beat = *request.mutable_beat();
     beat.set_worker(worker);
@@ -113,24 +113,24 @@
     commit();
     return n;
   };
-  LONGS_EQUAL(1, starts_at("a"));
-  milliseconds away{0};
-  while (starts_at("b") == 0) {
+  LONGS_EQUAL(1, starts_on("a"));
+  milliseconds outage{0};
+  while (starts_on("b") == 0) {
     clock.advance(milliseconds(100));
-    away += milliseconds(100);
+    outage += milliseconds(100);
     controller.tick();
     commit();
-    CHECK_TRUE(away < milliseconds(8'500));
+    CHECK_TRUE(outage < milliseconds(8'500));
   }
-  // Not before the grant is surely over.
-  CHECK_TRUE(away >= milliseconds(7'140));
+  // The task does not start elsewhere before the lease has expired.
+  CHECK_TRUE(outage >= milliseconds(7'140));
 }
 
-TEST(worker_life, run_that_is_given_up_on_is_not_ordered_again) {
+TEST(worker_life, lost_run_is_ordered_again) {
   world.configure();
   world.submit(7, {test_world::make_step(1)});
   world.beat("a");
-  // The worker never got the order.
+  // The worker never received the order.
   world.workers["a"].clear_running();
   for (int i = 0; i < 42; ++i) {
     world.clock.advance(milliseconds(100));
@@ -151,21 +151,21 @@
   LONGS_EQUAL(0, starts);
 }
 
-TEST(worker_life, only_a_life_that_lasts_ends_another_of_its_machine) {
+TEST(worker_life, delayed_heartbeats_end_incarnation_on_machine) {
   struct row {
     const char* name;
     int beats;
-    milliseconds apart;
-    milliseconds clock_apart;
-    bool ends_it;
+    milliseconds interval;
+    milliseconds clock_interval;
+    bool ends_incarnation;
   };
   const row rows[] = {
       {"one delayed heartbeat", 1, milliseconds(0), milliseconds(0), false},
-      {"several delayed ones at once", 4, milliseconds(0), milliseconds(500),
-       false},
-      {"delayed ones that come apart", 3, milliseconds(500), milliseconds(0),
-       false},
-      {"a new life", 4, milliseconds(300), milliseconds(300), true},
+      {"several delayed heartbeats at once", 4, milliseconds(0),
+       milliseconds(500), false},
+      {"delayed heartbeats that arrive apart", 3, milliseconds(500),
+       milliseconds(0), false},
+      {"a new incarnation", 4, milliseconds(300), milliseconds(300), true},
   };
   for (const row& it : rows) {
     world.~test_world();
@@ -178,19 +178,19 @@
     for (int i = 0; i < it.beats; ++i) {
       other.set_sequence(other.sequence() + 1);
       other.set_clock_ms(other.clock_ms() +
-                         static_cast<uint64_t>(it.clock_apart.count()));
+                         static_cast<uint64_t>(it.clock_interval.count()));
       fleet::fleet_request request;
       *request.mutable_beat() = other;
       world.ask(request);
-      world.pass(it.apart);
+      world.pass(it.interval);
     }
     world.pass(milliseconds(200));
-    CHECK_EQUAL_TEXT(!it.ends_it, runs_at("a"), it.name);
+    CHECK_EQUAL_TEXT(!it.ends_incarnation, has_runs("a"), it.name);
   }
 }
 
-/// Commits while it is being asked, as a replica does whose earlier entries
-/// came to last meanwhile.
+/// Commits the earlier proposals during a proposal, as a replica does whose
+/// earlier entries were committed in the meantime.
 class committing_log final : public fleet_log {
  public:
   bool may_decide() override { return true; }
@@ -204,7 +204,7 @@
   fleet_controller* controller = nullptr;
 };
 
-TEST(worker_life, worker_may_be_forgotten_while_its_heartbeat_is_read) {
+TEST(worker_life, worker_forgotten_while_its_heartbeat_is_read) {
   test_clock clock;
   committing_log log;
   metrics_registry metrics;
@@ -231,6 +231,6 @@
   clock.advance(milliseconds(1'000));
   controller.settle();
   controller.settle();
-  // Each call is answered, at the latest when its worker is forgotten.
+  // Each call is answered at the latest when its worker is forgotten.
   CHECK_TRUE(answers >= 7);
 }
--- a/fleet/worker-vacate-test.cc
+++ b/fleet/worker-vacate-test.cc
@@ -1,15 +1,12 @@
-// Workers that leave in order, and what runs there when their time is over.
+// Runs on a worker that leaves in order, at the end of its remaining time.
 //
-// Symptom: a batch task ended well at a draining worker and was started again
-// at another one.
-// Sequence: the worker told in each heartbeat how much time it had left (4.5 s
-// at first, 0.2 s in the last one). The run ended 36 ms before that was over.
-// An end is listed 50 ms later at the earliest, and the worker was gone by
-// then: no control box was ever told of it. Cause: the leader let everything
-// run on until the worker was gone. Whatever ends in the last moments can't be
-// told from what was cut off. Settled by the log: the last heartbeat listed no
-// end, the next thing heard of the worker was its leave, with the run still
-// open.
+// A batch task ended successfully on a draining worker and was started again on
+// another one. The worker reported its remaining time in each heartbeat (4.5 s
+// at first, 0.2 s in the last one), and the run ended 36 ms before the time was
+// up. An end is listed 50 ms later at the earliest, when the worker was gone,
+// so no control box received it. The leader let all runs go on until the worker
+// was gone; it can't tell a run that ended in the last moments from one that
+// was cut off.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -22,10 +19,10 @@
 namespace {
 
 constexpr milliseconds step_time{20};
-constexpr milliseconds list_end_after{50};
+constexpr milliseconds end_report_delay{50};
 
-/// A worker that drains: calls when it was told to, or 50 ms after an end, and
-/// takes its time over a stop.
+/// A draining worker: calls when the last answer asked for it or 50 ms after an
+/// end, and takes `stop` to stop a run.
 class draining_worker {
  public:
   draining_worker(test_world& world, milliseconds notice, milliseconds stop)
@@ -34,10 +31,10 @@
     call();
   }
 
-  bool here() const { return world_.clock.now() < leaves_at_; }
-  milliseconds left() const { return leaves_at_ - world_.clock.now(); }
+  bool is_running() const { return world_.clock.now() < leaves_at_; }
+  milliseconds remaining() const { return leaves_at_ - world_.clock.now(); }
   int running() const { return world_.workers["a"].running_size(); }
-  int unlisted() const { return unlisted_; }
+  int unreported_ends() const { return unreported_ends_; }
 
   void step() {
     const time_point now = world_.clock.now();
@@ -47,19 +44,20 @@
     }
     if (now >= next_call_) call();
   }
-  /// The run ends by itself.
+  /// Ends the run with an outcome.
   void end(const run_key& run, fleet::run_outcome outcome) {
     world_.end("a", to_ref(run.task), static_cast<uint32_t>(run.run.value()),
                outcome, "saved");
-    ++unlisted_;
+    ++unreported_ends_;
     stopping_.erase(run);
-    next_call_ = std::min(next_call_, world_.clock.now() + list_end_after);
+    next_call_ = std::min(next_call_, world_.clock.now() + end_report_delay);
   }
 
  private:
   void call() {
-    world_.workers["a"].set_remaining_ms(static_cast<uint64_t>(left().count()));
-    unlisted_ = 0;
+    world_.workers["a"].set_remaining_ms(
+        static_cast<uint64_t>(remaining().count()));
+    unreported_ends_ = 0;
     const fleet::worker_orders orders = world_.beat("a");
     next_call_ = world_.clock.now() +
                  milliseconds(static_cast<int64_t>(orders.next_beat_ms()));
@@ -74,16 +72,16 @@
   milliseconds stop_;
   time_point next_call_{};
   std::map<run_key, time_point> stopping_;
-  int unlisted_ = 0;
+  int unreported_ends_ = 0;
 };
 
-/// Jobs of one task each at worker `a`.
-void fill(test_world& world, int jobs, bool lasting) {
+/// Starts jobs of one task each on worker `a`.
+void start_jobs(test_world& world, int jobs, bool long_running) {
   world.configure();
   for (int i = 1; i <= jobs; ++i) {
     fleet::step_spec step = test_world::make_step(1);
     step.set_estimate_ms(20'000);
-    step.set_long_running(lasting);
+    step.set_long_running(long_running);
     world.submit(static_cast<uint64_t>(i), {step});
   }
   world.beat("a");
@@ -94,7 +92,7 @@
 
 TEST_GROUP(worker_vacate) { test_world world; };
 
-TEST(worker_vacate, nothing_runs_and_every_end_is_told_before_the_worker_goes) {
+TEST(worker_vacate, runs_or_unreported_ends_remain_when_worker_goes) {
   struct row {
     const char* name;
     milliseconds notice;
@@ -110,29 +108,29 @@
   for (const row& it : rows) {
     world.~test_world();
     new (&world) test_world();
-    fill(world, jobs, false);
+    start_jobs(world, jobs, false);
     LONGS_EQUAL_TEXT(jobs, world.workers["a"].running_size(), it.name);
     draining_worker worker(world, it.notice, it.stop);
-    while (worker.here()) {
+    while (worker.is_running()) {
       world.clock.advance(step_time);
       worker.step();
       if (world.clock.now().count() % 100 == 0) world.controller.tick();
       world.commit();
     }
     LONGS_EQUAL_TEXT(0, worker.running(), it.name);
-    LONGS_EQUAL_TEXT(0, worker.unlisted(), it.name);
+    LONGS_EQUAL_TEXT(0, worker.unreported_ends(), it.name);
     const auto& runs = world.controller.book().runs_on(worker_id("a"));
     LONGS_EQUAL_TEXT(0, runs.size(), it.name);
   }
 }
 
-// The wait for a new place is counted from their end: what serves works on as
-// long as its worker is there, and starts elsewhere as soon as it has left.
-TEST(worker_vacate, lasting_tasks_serve_to_the_end_and_start_again_at_once) {
+// Long-running tasks serve until their worker is gone and start elsewhere as
+// soon as it has left: users count the outage from the end of the run.
+TEST(worker_vacate, long_running_tasks_stop_early_or_restart_late) {
   constexpr int jobs = 4;
-  fill(world, jobs, true);
+  start_jobs(world, jobs, true);
   draining_worker worker(world, milliseconds(4'500), milliseconds(200));
-  while (worker.here()) {
+  while (worker.is_running()) {
     world.clock.advance(step_time);
     worker.step();
     if (world.clock.now().count() % 100 == 0) world.controller.tick();
@@ -146,10 +144,10 @@
   LONGS_EQUAL(jobs, world.beat("b").starts_size());
 }
 
-TEST(worker_vacate, work_goes_on_while_there_is_time) {
-  fill(world, 4, false);
+TEST(worker_vacate, tasks_are_stopped_too_early) {
+  start_jobs(world, 4, false);
   draining_worker worker(world, milliseconds(20'000), milliseconds(900));
-  while (worker.left() > milliseconds(4'000)) {
+  while (worker.remaining() > milliseconds(4'000)) {
     world.clock.advance(step_time);
     worker.step();
     world.commit();
@@ -157,14 +155,14 @@
   LONGS_EQUAL(4, worker.running());
 }
 
-TEST(worker_vacate, good_end_during_a_stop_counts_and_is_not_repeated) {
-  fill(world, 1, false);
+TEST(worker_vacate, successful_end_during_stop_is_repeated) {
+  start_jobs(world, 1, false);
   const run_key run{{job_number(1), 0, 0, 0}, run_number(1)};
   draining_worker worker(world, milliseconds(2'000), milliseconds(900));
   bool ended = false;
-  while (worker.here()) {
+  while (worker.is_running()) {
     world.clock.advance(step_time);
-    if (!ended && worker.left() <= milliseconds(1'500)) {
+    if (!ended && worker.remaining() <= milliseconds(1'500)) {
       worker.end(run, fleet::run_done);
       ended = true;
     }
@@ -175,10 +173,10 @@
   LONGS_EQUAL(0, world.beat("b").starts_size());
 }
 
-TEST(worker_vacate, what_was_stopped_goes_on_elsewhere_from_where_it_was) {
-  fill(world, 1, false);
+TEST(worker_vacate, stopped_task_restarts_without_checkpoint) {
+  start_jobs(world, 1, false);
   draining_worker worker(world, milliseconds(2'000), milliseconds(900));
-  while (worker.here()) {
+  while (worker.is_running()) {
     world.clock.advance(step_time);
     worker.step();
     world.commit();
