--- a/fleet/controller-evacuations.cc
+++ b/fleet/controller-evacuations.cc
@@ -56,7 +56,7 @@
 /// planned. Runs recorded for such a worker that it does not list are declared
 /// lost.
 bool fleet_controller::accepts_starts(const worker_view& it) const {
-  return !it.leaves && !it.beat.draining() &&
+  return !it.is_leaving && !it.beat.draining() &&
          !book_.evacuated().holds(it.beat.data_centre());
 }
 
--- a/fleet/controller-lag.cc
+++ b/fleet/controller-lag.cc
@@ -47,7 +47,7 @@
   for (const auto& [id, it] : workers_.views()) {
     for (const run_key& run : book_.runs_on(id)) {
       if (it.rows.contains(run) || lists_end(it, run)) continue;
-      const bool sent = it.sent.contains(run);
+      const bool sent = it.starts_sent_at.contains(run);
       ++(sent ? out.unlisted : out.unsent);
       if (!sent && is_long_running(run)) ++out.unsent_long_running;
     }
--- a/fleet/controller-late-ends.cc
+++ b/fleet/controller-late-ends.cc
@@ -18,8 +18,9 @@
 /// whether or not its worker's incarnation continues, and a worker that is gone
 /// does not report the end again. These ends are not acknowledged here.
 void fleet_controller::record_ends_only(const fleet::worker_beat& beat) {
-  worker_view* it = workers_.find(life_of(beat));
-  if (it == nullptr || it->over || proposed_losses_.contains(it->id)) return;
+  worker_view* it = workers_.find(incarnation_of(beat));
+  if (it == nullptr || it->loss_proposed || proposed_losses_.contains(it->id))
+    return;
   if (book_.runs_on(it->id).empty()) return;
   record_ends(*it, beat.ended(), false);
 }
@@ -50,7 +51,7 @@
 void fleet_controller::recall_start(const run_key& run,
                                     const worker_id& worker) {
   worker_view* it = workers_.find(worker);
-  if (it == nullptr || it->unsent.erase(run) == 0) return;
+  if (it == nullptr || it->unsent_starts.erase(run) == 0) return;
   log_event(detail::service_name, log_level::info, "start-recalled")
       .with("task", to_text(run.task))
       .with("run", run.run.value())
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -31,15 +31,17 @@
 /// configuration keeps its runs.
 const char* fleet_controller::find_fault(const fleet::worker_beat& beat) {
   const std::vector<worker_view*>& incarnations =
-      workers_.lives_of(beat.worker());
+      workers_.incarnations_of(beat.worker());
   const bool reports_birth = !incarnations.empty() &&
-                             incarnations.back()->known &&
-                             born_of(incarnations.back()->id) > 0;
+                             incarnations.back()->has_heartbeat &&
+                             start_time_of(incarnations.back()->id) > 0;
   if (reports_birth && beat.born() == 0) return "no birth";
   if (beat.base() != 0 || names_pool(beat)) return nullptr;
-  const worker_view* it = workers_.find(life_of(beat));
-  const bool is_known = it != nullptr && it->known;
-  return is_known && it->beat.pool() == beat.pool() ? nullptr : "unknown pool";
+  const worker_view* it = workers_.find(incarnation_of(beat));
+  const bool is_supported_command = it != nullptr && it->has_heartbeat;
+  return is_supported_command && it->beat.pool() == beat.pool()
+             ? nullptr
+             : "unknown pool";
 }
 
 void fleet_controller::reject_heartbeat(const fleet::worker_beat& beat,
@@ -48,7 +50,7 @@
   ++metrics_.counter("kestrelreel_heartbeats_unusable_total",
                      {{"cause", fault}});
   log_event(detail::service_name, log_level::warn, "heartbeat-unusable")
-      .with("worker", life_of(beat).str())
+      .with("worker", incarnation_of(beat).str())
       .with("address", beat.address())
       .with("pool", beat.pool())
       .with("sequence", beat.sequence())
@@ -75,7 +77,7 @@
       .with("taken", it.beat.sequence())
       .with("clock-behind-ms", clock_behind)
       .with("ends", beat.ended_size())
-      .with("told-ms-ago", (clock_.now() - it.told).count());
+      .with("told-ms-ago", (clock_.now() - it.last_heartbeat_at).count());
 }
 
 /// Finds the incarnation that a leave refers to, or none if the leave can only
@@ -85,12 +87,13 @@
 /// the runs of that incarnation would be started twice.
 std::optional<worker_id> fleet_controller::find_leaving_incarnation(
     const std::string& name, uint64_t born) {
-  if (born > 0) return life_of(name, born);
-  const std::vector<worker_view*>& incarnations = workers_.lives_of(name);
-  const bool has_earlier = workers_.has_earlier_life(name);
+  if (born > 0) return incarnation_of(name, born);
+  const std::vector<worker_view*>& incarnations =
+      workers_.incarnations_of(name);
+  const bool has_earlier = workers_.has_earlier_incarnation(name);
   if (incarnations.empty() && !has_earlier) return worker_id(name);
   const auto is_leaving = [](const worker_view* it) {
-    return it->beat.draining() || it->left_at.has_value();
+    return it->beat.draining() || it->leave_recorded_at.has_value();
   };
   const auto last =
       std::find_if(incarnations.rbegin(), incarnations.rend(), is_leaving);
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -57,7 +57,7 @@
   if (!it.beat.draining()) return false;
   const milliseconds remaining =
       milliseconds(static_cast<int64_t>(it.beat.remaining_ms())) - it.delay -
-      (clock_.now() - it.told);
+      (clock_.now() - it.last_heartbeat_at);
   return remaining <= settings_.worker_stop + 2 * heartbeat_interval(it) +
                           settings_.max_answer_wait;
 }
@@ -79,7 +79,7 @@
       .with("worker", it.id.str())
       .with("runs", evicted)
       .with("remaining-ms", it.beat.remaining_ms())
-      .with("told-ms-ago", (clock_.now() - it.told).count());
+      .with("told-ms-ago", (clock_.now() - it.last_heartbeat_at).count());
 }
 
 bool fleet_controller::answer_is_due(const worker_view& it,
@@ -88,15 +88,15 @@
   const milliseconds max_wait =
       it.was_held ? settings_.idle_call_hold + detail::held_start_grace
                   : settings_.max_answer_wait;
-  if (clock_.now() - it.asked >= max_wait) return true;
-  return recorded && it.proposed.empty() &&
-         it.end_proposed <= book_.last_end(it.id);
+  if (clock_.now() - it.call_received_at >= max_wait) return true;
+  return recorded && it.proposed_starts.empty() &&
+         it.last_end_proposed <= book_.last_end(it.id);
 }
 
 /// Answers a call whose worker no longer waits for the answer, without lease or
 /// orders.
 bool fleet_controller::reject_late_call(worker_view& it) {
-  const milliseconds age = clock_.now() - it.asked + it.delay;
+  const milliseconds age = clock_.now() - it.call_received_at + it.delay;
   if (age < workers_.leases().answer_limit) return false;
   ++metrics_.counter("kestrelreel_answers_late_total");
   std::exchange(it.respond, nullptr)(make_response(fleet::fleet_ok, "late"));
@@ -118,11 +118,11 @@
 /// worker has given up on the call.
 std::vector<worker_view*> fleet_controller::due_answers() {
   std::vector<worker_view*> due;
-  for (worker_view* it : workers_.marks().held_calls.due_by(clock_.now())) {
-    workers_.marks().held_calls.remove(*it);
-    workers_.marks().calling.add(*it);
+  for (worker_view* it : workers_.groups().held_calls.due_by(clock_.now())) {
+    workers_.groups().held_calls.remove(*it);
+    workers_.groups().calling.add(*it);
   }
-  workers_.marks().calling.review([&](worker_view& it) {
+  workers_.groups().calling.retain_if([&](worker_view& it) {
     if (!it.respond || reject_late_call(it)) return false;
     const bool recorded = record_orders(it);
     if (answer_is_due(it, recorded)) due.push_back(&it);
@@ -136,10 +136,10 @@
   std::vector<std::tuple<time_point, uint64_t, worker_view*>> by_deadline;
   by_deadline.reserve(due.size());
   for (worker_view* it : due) {
-    const bool ordered = !it->unsent.empty() || it->awaits_start;
+    const bool ordered = !it->unsent_starts.empty() || it->awaits_start;
     const milliseconds lead =
         ordered ? detail::ordered_answer_lead : milliseconds(0);
-    by_deadline.emplace_back(it->over_at - lead, it->ordinal, it);
+    by_deadline.emplace_back(it->lease_expires_at - lead, it->ordinal, it);
   }
   std::nth_element(
       by_deadline.begin(),
@@ -179,7 +179,8 @@
 }
 
 bool fleet_controller::is_idle(const worker_view& it) const {
-  return it.rows.empty() && it.proposed.empty() && book_.runs_on(it.id).empty();
+  return it.rows.empty() && it.proposed_starts.empty() &&
+         book_.runs_on(it.id).empty();
 }
 
 milliseconds fleet_controller::heartbeat_interval(const worker_view& it) const {
@@ -197,7 +198,7 @@
     }
   }
   const milliseconds max_pause =
-      workers_.leases().hold / detail::min_calls_per_lease;
+      workers_.leases().duration / detail::min_calls_per_lease;
   // Only heartbeats without news are delayed: a worker reports ends at once
   // whatever its interval.
   return std::min(lag_.stretched(pause), std::max(target, max_pause));
@@ -207,19 +208,20 @@
 /// the call is to be answered now. Answers to a worker that leaves, lists runs
 /// or reports ends are never held.
 bool fleet_controller::hold_call(worker_view& it) {
-  const bool is_first = it.over_at == time_point{};
-  it.was_held = may_hold_calls() && !is_first && is_idle(it) && !it.leaves &&
-                !it.beat.draining() && it.beat.ended_size() == 0 &&
+  const bool is_first = it.lease_expires_at == time_point{};
+  it.was_held = may_hold_calls() && !is_first && is_idle(it) &&
+                !it.is_leaving && !it.beat.draining() &&
+                it.beat.ended_size() == 0 &&
                 it.delay < settings_.idle_call_hold;
   if (!it.was_held) return false;
-  workers_.marks().held_calls.set(
-      it, it.asked + settings_.idle_call_hold - it.delay);
+  workers_.groups().held_calls.set(
+      it, it.call_received_at + settings_.idle_call_hold - it.delay);
   return true;
 }
 
 fleet::worker_orders fleet_controller::orders_for(worker_view& it) {
   fleet::worker_orders orders;
-  const auto hold = workers_.leases().hold.count();
+  const auto hold = workers_.leases().duration.count();
   orders.set_hold_ms(static_cast<uint64_t>(hold));
   orders.set_last_end(book_.last_end(it.id));
   orders.set_fence(log_.term().value());
@@ -237,14 +239,14 @@
 /// in one line: a few hundred lines a second at most, for a thousand starts.
 void fleet_controller::log_orders(worker_view& it,
                                   const fleet::worker_orders& orders) const {
-  if (it.end_told != orders.last_end()) {
-    it.end_told = orders.last_end();
+  if (it.last_end_acknowledged != orders.last_end()) {
+    it.last_end_acknowledged = orders.last_end();
     log_event(detail::service_name,
               is_starting_or_leaving(it) ? log_level::info : log_level::debug,
               "ends-acknowledged")
         .with("worker", it.id.str())
         .with("sequence", it.beat.sequence())
-        .with("last", it.end_told);
+        .with("last", it.last_end_acknowledged);
   }
   if (orders.starts_size() == 0) return;
   log_event(detail::service_name, log_level::info, "starts-sent")
@@ -257,8 +259,8 @@
 /// True when the worker's runs in the book exceed its capacity because the
 /// capacity has shrunk since they were placed.
 bool fleet_controller::is_overcommitted(worker_view& it) {
-  if (std::exchange(it.load_is_old, false)) it.load = scheduler_.load_of(it);
-  return !it.load.fits_in(room_of(it.beat));
+  if (std::exchange(it.load_is_stale, false)) it.load = scheduler_.load_of(it);
+  return !it.load.fits_in(capacity_of(it.beat));
 }
 
 bool fleet_controller::guards_capacity(const std::string& pool) const {
@@ -277,7 +279,7 @@
   const bool has_unrecorded =
       std::any_of(it.rows.begin(), it.rows.end(),
                   [&](auto& row) { return !runs.contains(row.first); });
-  if (has_unrecorded || it.lists_unrecorded) it.load_is_old = true;
+  if (has_unrecorded || it.lists_unrecorded) it.load_is_stale = true;
   it.lists_unrecorded = has_unrecorded;
 }
 
@@ -310,8 +312,8 @@
     start.set_run(static_cast<uint32_t>(run.run.value()));
     start.set_text(book_.find(run.task.job)->spec.text());
     start.set_saved(task.saved);
-    it.sent[run] = clock_.now();
-    it.unsent.erase(run);
+    it.starts_sent_at[run] = clock_.now();
+    it.unsent_starts.erase(run);
     placed_in_vain_.erase(run.task);
     it.awaits_start = true;
   }
@@ -343,20 +345,21 @@
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
     if (step == nullptr || !step->fills()) continue;
-    const auto sent = it.paces.find(run);
+    const auto sent = it.sent_paces.find(run);
     const auto wanted = it.pace.find(run);
     if (wanted == it.pace.end()) continue;
-    if (sent == it.paces.end() && wanted->second == full_pace) continue;
-    if (sent != it.paces.end() && sent->second == wanted->second) continue;
-    it.paces[run] = wanted->second;
+    if (sent == it.sent_paces.end() && wanted->second == full_pace_percent)
+      continue;
+    if (sent != it.sent_paces.end() && sent->second == wanted->second) continue;
+    it.sent_paces[run] = wanted->second;
     fleet::pace_order& pace = *orders.add_paces();
     *pace.mutable_task() = to_ref(run.task);
     pace.set_run(static_cast<uint32_t>(run.run.value()));
     pace.set_percent(wanted->second);
   }
-  std::erase_if(it.paces,
+  std::erase_if(it.sent_paces,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
-  std::erase_if(it.sent, [&](const auto& p) {
+  std::erase_if(it.starts_sent_at, [&](const auto& p) {
     return !book_.runs_on(it.id).contains(p.first);
   });
 }
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -48,12 +48,15 @@
 /// leader's clock and by its own clock, and since `it` fell silent.
 bool has_outlived(const worker_view& newer, const worker_view& it,
                   milliseconds loss_grace) {
-  const milliseconds min_time = sure_life + loss_grace;
+  const milliseconds min_time = incarnation_proof_time + loss_grace;
   const milliseconds worker_elapsed(
       static_cast<int64_t>(newer.beat.clock_ms() - newer.first_clock_ms));
-  return newer.answered && newer.id != it.id && newer.told > it.told &&
-         newer.first_told > it.first_told &&
-         newer.told - std::max(newer.first_told, it.told) >= min_time &&
+  return newer.answered && newer.id != it.id &&
+         newer.told > it.last_heartbeat_at &&
+         newer.first_heartbeat_at > it.first_heartbeat_at &&
+         newer.told -
+                 std::max(newer.first_heartbeat_at, it.last_heartbeat_at) >=
+             min_time &&
          worker_elapsed >= min_time;
 }
 
@@ -63,7 +66,7 @@
                                  milliseconds loss_grace) {
   const auto found =
       std::find_if(all.begin(), all.end(), [&](const worker_view* other) {
-        return !other->over && has_outlived(*other, it, loss_grace);
+        return !other->loss_proposed && has_outlived(*other, it, loss_grace);
       });
   return found == all.end() ? nullptr : *found;
 }
@@ -110,7 +113,7 @@
   loss.set_over(cause == loss_cause::replaced ||
                 cause == loss_cause::restarted || cause == loss_cause::left);
   loss.set_silent(cause == loss_cause::lease && !it.lapsed.empty());
-  it.over = loss.over();
+  it.loss_proposed = loss.over();
   std::set<run_key> lost_runs(runs.begin(), runs.end());
   const bool crashed = shows_crash(it, cause);
   if (crashed) lost_runs.insert(it.lapsed.begin(), it.lapsed.end());
@@ -128,8 +131,9 @@
   line.with("worker", it.id.str())
       .with("runs", runs.size())
       .with("cause", name_of(cause))
-      .with("known", it.known ? "yes" : "no");
-  if (it.known) line.with("silent-ms", (clock_.now() - it.told).count());
+      .with("known", it.has_heartbeat ? "yes" : "no");
+  if (it.has_heartbeat)
+    line.with("silent-ms", (clock_.now() - it.last_heartbeat_at).count());
   // Runs that were never listed may have caused the silence.
   const std::vector<run_key> unlisted = unlisted_of(it, runs);
   line.with("unlisted", to_text(unlisted))
@@ -142,7 +146,7 @@
   std::vector<run_key> out;
   for (const run_key& run : runs) {
     const bool listed = it.rows.contains(run) || lists_end(it, run);
-    if (it.sent.contains(run) && !listed) out.push_back(run);
+    if (it.starts_sent_at.contains(run) && !listed) out.push_back(run);
   }
   return out;
 }
@@ -198,12 +202,13 @@
   const time_point now = clock_.now();
   log_event(detail::service_name, log_level::info, "life-outlived")
       .with("worker", it.id.str())
-      .with("known", it.known ? "yes" : "no")
-      .with("silent-ms", (now - it.told).count())
+      .with("known", it.has_heartbeat ? "yes" : "no")
+      .with("silent-ms", (now - it.last_heartbeat_at).count())
       .with("by", next.id.str())
-      .with("heard-for-ms", (next.told - next.first_told).count())
+      .with("heard-for-ms",
+            (next.last_heartbeat_at - next.first_heartbeat_at).count())
       .with("own-ms", next.beat.clock_ms() - next.first_clock_ms)
-      .with("last-heard-ms", (now - next.told).count());
+      .with("last-heard-ms", (now - next.last_heartbeat_at).count());
 }
 
 /// Only one incarnation of a worker is alive. Runs of an incarnation that was
@@ -213,7 +218,8 @@
 /// delayed heartbeat would end an incarnation whose runs continue.
 void fleet_controller::review_restarts() {
   for (const std::string& name : workers_.shared_names()) {
-    const std::vector<worker_view*>& incarnations = workers_.lives_of(name);
+    const std::vector<worker_view*>& incarnations =
+        workers_.incarnations_of(name);
     for (worker_view* it : incarnations) {
       if (proposed_losses_.contains(it->id)) continue;
       const worker_view* next =
@@ -230,25 +236,27 @@
 /// another incarnation.
 void fleet_controller::review_silence() {
   const time_point now = clock_.now();
-  worker_queue& watched = workers_.marks().watched;
+  worker_queue& watched = workers_.groups().watched;
   for (worker_view* due : watched.due_by(now)) {
     worker_view& it = *due;
     const auto& runs = book_.runs_on(it.id);
-    const bool recently_heard = now - it.told < detail::dead_after;
+    const bool recently_heard = now - it.last_heartbeat_at < detail::dead_after;
     // A silent worker without runs is not urgent.
     const time_point next_review =
         runs.empty() ? now + detail::idle_review_interval : now;
-    watched.set(it,
-                recently_heard ? it.told + detail::dead_after : next_review);
-    if (recently_heard || it.left_at || proposed_losses_.contains(it.id))
+    watched.set(it, recently_heard ? it.last_heartbeat_at + detail::dead_after
+                                   : next_review);
+    if (recently_heard || it.leave_recorded_at ||
+        proposed_losses_.contains(it.id))
       continue;
-    const bool lease_ended = now >= it.over_at + loss_grace();
+    const bool lease_ended = now >= it.lease_expires_at + loss_grace();
     loss_cause cause = loss_cause::lease;
-    if (now >= it.over_at + detail::silent_worker_retention) {
+    if (now >= it.lease_expires_at + detail::silent_worker_retention) {
       cause = loss_cause::silent;
     }
     // A worker that this leader has not heard yet may be about to call.
-    const bool silent = it.known || now - led_since_ >= detail::dead_after;
+    const bool silent =
+        it.has_heartbeat || now - led_since_ >= detail::dead_after;
     if (silent) {
       const worker_view* next =
           detail::find_replacement(workers_, it, loss_grace());
@@ -275,8 +283,8 @@
   const lease_settings& leases = workers_.leases();
   const milliseconds min_wait =
       leases.answer_limit + leases.slack + loss_grace();
-  workers_.marks().left.review([&](worker_view& it) {
-    if (!it.left_at) return false;
+  workers_.groups().left.retain_if([&](worker_view& it) {
+    if (!it.leave_recorded_at) return false;
     if (proposed_losses_.contains(it.id)) return true;
     std::vector<run_key> long_running;
     for (const run_key& run : book_.runs_on(it.id)) {
@@ -286,7 +294,9 @@
       propose_loss(it, long_running, loss_cause::left_serving);
       return true;
     }
-    if (clock_.now() - std::max(*it.left_at, it.told) < min_wait) return true;
+    if (clock_.now() - std::max(*it.leave_recorded_at, it.last_heartbeat_at) <
+        min_wait)
+      return true;
     const auto& runs = book_.runs_on(it.id);
     propose_loss(it, {runs.begin(), runs.end()}, loss_cause::left);
     return true;
@@ -298,7 +308,7 @@
 /// may date from before its leadership: their age is unknown until the worker
 /// is known to get this leader's answers.
 void fleet_controller::review_unstarted(worker_view& it) {
-  if (!it.answered || proposed_losses_.contains(it.id)) return;
+  if (!it.got_answer || proposed_losses_.contains(it.id)) return;
   const milliseconds min_age =
       workers_.leases().answer_limit + detail::order_margin;
   const bool can_start = accepts_starts(it) && !is_overcommitted(it);
@@ -306,11 +316,13 @@
   for (const run_key& run : book_.runs_on(it.id)) {
     if (it.rows.contains(run) || lists_end(it, run)) continue;
     if (can_start && !should_stop(run)) continue;
-    const auto sent = it.sent.find(run);
-    const time_point last = std::max(
-        led_since_, sent == it.sent.end() ? time_point{} : sent->second);
+    const auto sent = it.starts_sent_at.find(run);
+    const time_point last =
+        std::max(led_since_,
+                 sent == it.starts_sent_at.end() ? time_point{} : sent->second);
     // A run missing from a delayed heartbeat may have begun since.
-    if (it.heard - it.delay - last > min_age) lost.push_back(run);
+    if (it.last_timely_heartbeat_at - it.delay - last > min_age)
+      lost.push_back(run);
   }
   if (!lost.empty()) propose_loss(it, lost, loss_cause::lease);
 }
@@ -321,22 +333,22 @@
 /// sent while the withdrawal is pending.
 void fleet_controller::review_unsent() {
   const time_point now = clock_.now();
-  workers_.marks().unsent.review([&](worker_view& it) {
-    if (it.unsent.empty()) return false;
+  workers_.groups().with_unsent_starts.retain_if([&](worker_view& it) {
+    if (it.unsent_starts.empty()) return false;
     if (proposed_losses_.contains(it.id)) return true;
     const auto& runs = book_.runs_on(it.id);
-    std::erase_if(it.unsent,
+    std::erase_if(it.unsent_starts,
                   [&runs](const auto& p) { return !runs.contains(p.first); });
     std::vector<run_key> expired;
-    for (const auto& [run, deadline] : it.unsent) {
+    for (const auto& [run, deadline] : it.unsent_starts) {
       if (now >= deadline) expired.push_back(run);
     }
-    if (expired.empty()) return !it.unsent.empty();
-    for (const run_key& run : expired) it.unsent.erase(run);
-    it.taken_back_at = now;
+    if (expired.empty()) return !it.unsent_starts.empty();
+    for (const run_key& run : expired) it.unsent_starts.erase(run);
+    it.starts_recalled_at = now;
     record_taken_back(it, expired);
     propose_loss(it, expired, loss_cause::unsent);
-    return !it.unsent.empty();
+    return !it.unsent_starts.empty();
   });
 }
 
--- a/fleet/controller-submissions.cc
+++ b/fleet/controller-submissions.cc
@@ -17,7 +17,7 @@
 /// job never runs.
 bool fleet_controller::is_known_submission(const fleet::job_call& call) const {
   const job_entry* job = book_.find(job_number(call.job()));
-  return job != nullptr && is_under(job->queue, call.host(), call.path());
+  return job != nullptr && matches_queue(job->queue, call.host(), call.path());
 }
 
 /// Gives a copy of a pending submission the same response as the first copy:
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -43,7 +43,7 @@
                                        const answer_function& answer) {
   for (const fleet::worker_beat& it : batch.beats()) {
     const auto respond =
-        [this, answer, worker = life_of(it).str(), n = it.sequence(),
+        [this, answer, worker = incarnation_of(it).str(), n = it.sequence(),
          taken_in = clock_.now()](fleet::fleet_response response) {
           fleet::beat_answer out;
           out.set_worker(worker);
@@ -53,7 +53,8 @@
           *out.mutable_response() = std::move(response);
           answer(std::move(out));
         };
-    const auto held = [answer, worker = life_of(it).str(), n = it.sequence()] {
+    const auto held = [answer, worker = incarnation_of(it).str(),
+                       n = it.sequence()] {
       fleet::beat_answer out;
       out.set_worker(worker);
       out.set_sequence(n);
@@ -72,14 +73,14 @@
                                     const respond_function& respond,
                                     const std::function<void()>& held) {
   ++metrics_.counter("kestrelreel_heartbeats_total");
-  const worker_id incarnation = life_of(beat);
+  const worker_id incarnation = incarnation_of(beat);
   const worker_view* known_view = workers_.find(incarnation);
   if (const char* fault = find_fault(beat)) {
     return reject_heartbeat(beat, fault, respond);
   }
   const bool unheard = known_view == nullptr || !known_view->known;
   const bool over = known_view != nullptr && known_view->over;
-  if (over || (unheard && workers_.stays_over(beat))) {
+  if (over || (unheard && workers_.stays_ended(beat))) {
     log_event(detail::service_name, log_level::info, "heartbeat-after-end")
         .with("worker", incarnation.str())
         .with("sequence", beat.sequence())
@@ -87,7 +88,8 @@
     record_ends_only(beat);
     return respond(make_response(fleet::fleet_ok, "over"));
   }
-  const auto [it, timely, wants_whole, misfit] = workers_.heard(beat);
+  const auto [it, timely, wants_whole, misfit] =
+      workers_.receive_heartbeat(beat);
   if (misfit) return reject_heartbeat(beat, "misfit", respond);
   if (wants_whole) {
     const bool known = workers_.find(incarnation) != nullptr;
@@ -126,9 +128,9 @@
                   nullptr)(make_response(fleet::fleet_ok, "overtaken"));
   }
   it->respond = respond;
-  it->asked = clock_.now();
+  it->call_received_at = clock_.now();
   if (held && hold_call(*it)) return held();
-  workers_.marks().calling.add(*it);
+  workers_.groups().calling.add(*it);
   update_paces_if_due(*it);
   has_pending_decisions_ = true;
 }
@@ -137,15 +139,18 @@
   constexpr uint64_t ms_per_s = 1'000;
   const milliseconds interval(static_cast<int64_t>(
       workers_.views().size() * ms_per_s / settings_.max_pace_reviews_per_s));
-  if (it.heard - it.paced_at < lag_.stretched(interval)) return;
-  it.paced_at = it.heard;
+  if (it.last_timely_heartbeat_at - it.paced_at < lag_.stretched(interval))
+    return;
+  it.paced_at = it.last_timely_heartbeat_at;
   scheduler_.pace(it);
 }
 
 /// Logs an incarnation seen for the first time, which may be new, or already
 /// over with heartbeats still arriving.
 void fleet_controller::log_new_incarnation(const worker_view& it) const {
-  if (it.first_told != it.told || it.over_at != time_point{}) return;
+  if (it.first_heartbeat_at != it.last_heartbeat_at ||
+      it.lease_expires_at != time_point{})
+    return;
   log_event(detail::service_name, log_level::info, "life-appears")
       .with("worker", it.id.str())
       .with("machine", it.beat.machine())
@@ -157,12 +162,14 @@
 /// True for a worker that drains or leaves, and for one heard for the first
 /// time: its list now decides whether its tasks are started again.
 bool fleet_controller::is_starting_or_leaving(const worker_view& it) const {
-  return it.leaves || it.beat.draining() || it.first_told == it.told;
+  return it.is_leaving || it.beat.draining() ||
+         it.first_heartbeat_at == it.last_heartbeat_at;
 }
 
 void fleet_controller::record_ends(worker_view& it, const listed_ends& ends,
                                    bool timely) {
-  const uint64_t last_known = std::max(book_.last_end(it.id), it.end_proposed);
+  const uint64_t last_known =
+      std::max(book_.last_end(it.id), it.last_end_proposed);
   fleet::fleet_command command;
   fleet::worker_report& report = *command.mutable_report();
   report.set_worker(it.id.str());
@@ -170,7 +177,7 @@
     if (end.number() <= last_known) continue;
     if (!recall_later_run(end)) break;
     *report.add_ends() = end;
-    it.end_proposed = std::max(it.end_proposed, end.number());
+    it.last_end_proposed = std::max(it.last_end_proposed, end.number());
     record_end(it, end);
   }
   if (report.ends_size() == 0) return;
@@ -180,7 +187,7 @@
       .with("worker", it.id.str())
       .with("sequence", it.beat.sequence())
       .with("first", report.ends(0).number())
-      .with("last", it.end_proposed)
+      .with("last", it.last_end_proposed)
       .with("outcomes", detail::count_outcomes(report))
       .with("timely", timely ? "yes" : "no")
       .with("draining", it.beat.draining() ? "yes" : "no");
@@ -257,12 +264,13 @@
       .with("worker", worker.str())
       .with("runs", book_.runs_on(worker).size())
       .with("sequence", it.beat.sequence())
-      .with("known", it.known ? "yes" : "no")
-      .with("heard-ms-ago", (clock_.now() - it.told).count())
+      .with("known", it.has_heartbeat ? "yes" : "no")
+      .with("heard-ms-ago", (clock_.now() - it.last_heartbeat_at).count())
       .with("remaining-ms", it.beat.remaining_ms())
-      .with("recorded", it.left_at ? "yes" : "no");
-  if (it.left_at) return respond(make_response(fleet::fleet_ok, "left"));
-  it.leaves = true;
+      .with("recorded", it.leave_recorded_at ? "yes" : "no");
+  if (it.leave_recorded_at)
+    return respond(make_response(fleet::fleet_ok, "left"));
+  it.is_leaving = true;
   fleet::fleet_command command;
   command.mutable_leave()->set_worker(worker.str());
   commit(std::move(command), respond);
@@ -270,7 +278,7 @@
 
 bool fleet_controller::is_over(const worker_id& worker) {
   const worker_view* it = workers_.find(worker);
-  return it == nullptr ? workers_.is_over(worker) : it->over;
+  return it == nullptr ? workers_.is_ended(worker) : it->loss_proposed;
 }
 
 /// Stops backfill tasks that make no progress where they run and would make
@@ -322,16 +330,16 @@
     const run_key run{to_key(it.task()), run_number(it.run())};
     // The load already counts a proposed run, which stays correct unless the
     // book rejected the start.
-    const bool counted = view->proposed.erase(run) > 0;
+    const bool counted = view->proposed_starts.erase(run) > 0;
     if (counted && leads_) {
-      view->unsent[run] = clock_.now() + longest_call_way;
-      workers_.marks().unsent.add(*view);
-      workers_.marks().held_calls.remove(*view);
-      workers_.marks().calling.add(*view);
+      view->unsent_starts[run] = clock_.now() + max_call_delay;
+      workers_.groups().with_unsent_starts.add(*view);
+      workers_.groups().held_calls.remove(*view);
+      workers_.groups().calling.add(*view);
       recall_start_if_done(run, view->id);
     }
     if (!counted || !book_.runs_on(view->id).contains(run)) {
-      view->load_is_old = true;
+      view->load_is_stale = true;
     }
   }
 }
--- a/fleet/delayed-steps.cc
+++ b/fleet/delayed-steps.cc
@@ -52,7 +52,7 @@
                                         std::vector<delayed_step>& out) const {
   const auto& spec = job.spec.steps(static_cast<int>(first.step));
   if (!spec.long_running() || spec.gang()) return;
-  if (!book_.step_is_due(job, first.time, first.step)) return;
+  if (!book_.dependencies_done(job, first.time, first.step)) return;
   const uint32_t priority = book_.queue_of(job).priority();
   const uint32_t interrupted = unplaced(first, false);
   const uint32_t all = unplaced(first, true);
@@ -204,7 +204,8 @@
     }
     all.cpu += it.beat.cpu_milli();
     taken.cpu += it.load.cpu;
-    for (const kept_room& entry : it.kept) reserved.cpu += entry.cpu;
+    for (const capacity_reservation& entry : it.reservations)
+      reserved.cpu += entry.cpu;
     for (const run_key& run : book_.runs_on(id)) {
       const fleet::step_spec* step = book_.find_step(run.task);
       if (step == nullptr || step->fills() || it.rows.contains(run)) continue;
@@ -277,17 +278,17 @@
                                           const task_key& step) {
   const auto drop = [&](worker_view& it) {
     const auto kept = std::find_if(
-        it.kept.begin(), it.kept.end(),
-        [&](const kept_room& entry) { return entry.step == step; });
-    if (kept == it.kept.end()) return false;
-    it.kept.erase(kept);
+        it.reservations.begin(), it.reservations.end(),
+        [&](const capacity_reservation& entry) { return entry.step == step; });
+    if (kept == it.reservations.end()) return false;
+    it.reservations.erase(kept);
     return true;
   };
   if (drop(worker)) return;
   bool dropped = false;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
     dropped = dropped || drop(it);
-    return !it.kept.empty();
+    return !it.reservations.empty();
   });
 }
 
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -154,7 +154,7 @@
   test_clock clock;
   metrics_registry metrics;
   intake_settings settings;
-  beat_intake intake{settings, clock, metrics};
+  heartbeat_intake intake{settings, clock, metrics};
   std::map<std::string, fleet::worker_beat> calls;
   std::map<std::string, fleet::fleet_response> responses;
 
@@ -175,7 +175,7 @@
     it.set_worker(beat.worker());
     it.set_sequence(beat.sequence());
     it.mutable_response()->mutable_orders()->set_hold_ms(6'000);
-    intake.answered(all);
+    intake.handle_answers(all);
   }
   /// Exchanges calls with a leader that takes `delay` for each batch of
   /// answers.
@@ -198,9 +198,9 @@
 TEST(held_back_calls, slow_leader_gets_fewer_calls_at_once) {
   serve(20, milliseconds(700));
   for (int n = 0; n < 200; ++n) call("w" + std::to_string(n));
-  LONGS_EQUAL(settings.least_window, intake.collect("L").beats_size());
+  LONGS_EQUAL(settings.min_window, intake.collect("L").beats_size());
   // Calls of a leaving worker are not held back behind others.
-  CHECK_FALSE(intake.has_news());
+  CHECK_FALSE(intake.has_pending_calls());
 }
 
 TEST(held_back_calls, every_worker_is_served) {
@@ -224,7 +224,7 @@
   call("leaves", true);
   const int passed = intake.collect("L").beats_size();
   responses.clear();
-  clock.advance(settings.come_again_after);
+  clock.advance(settings.put_off_after);
   intake.expire();
   LONGS_EQUAL(201 - passed, responses.size());
   for (const auto& [worker, it] : responses) {
--- a/fleet/leader-lag.h
+++ b/fleet/leader-lag.h
@@ -16,7 +16,7 @@
   milliseconds behind_threshold{150};
   /// Upper bound of the stretch: workers that call every 200 ms then call every
   /// 800 ms, which is the shortest time that proves an incarnation alive
-  /// (`sure_life`) and less than an eighth of the longest lease.
+  /// (`incarnation_proof_time`) and less than an eighth of the longest lease.
   unsigned max_stretch_percent = 400;
 };
 
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -77,7 +77,7 @@
     // Below 100 percent progress the task is starting; its reading is not
     // usable yet.
     if (step == nullptr || step->target_ms() <= 0 || row.reading() <= 0 ||
-        row.percent() < full_pace) {
+        row.percent() < full_pace_percent) {
       continue;
     }
     const double tail_share = row.reading() / step->target_ms();
@@ -111,7 +111,7 @@
   use.reserve(tasks.size());
   for (const backfill_task& backfill : tasks)
     use.push_back({backfill.image, backfill.use});
-  std::erase_if(it.excess,
+  std::erase_if(it.load_excess,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const serving_task& task : serving) update_model(it, task, use);
   for (const serving_task& task : serving) throttle_backfill(it, task, tasks);
@@ -120,7 +120,7 @@
   it.pace.clear();
   for (const backfill_task& backfill : tasks) {
     const double percent =
-        std::floor(backfill.share * full_pace / detail::pace_step) *
+        std::floor(backfill.share * full_pace_percent / detail::pace_step) *
         detail::pace_step;
     it.pace[backfill.run] = static_cast<unsigned>(percent);
   }
@@ -130,19 +130,21 @@
 void fleet_scheduler::enforce_targets(worker_view& it,
                                       const std::vector<serving_task>& serving,
                                       std::vector<backfill_task>& tasks) {
-  std::erase_if(it.over_since,
+  std::erase_if(it.over_target_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   bool stop = false;
   for (const serving_task& task : serving) {
-    const auto since = it.over_since.find(task.run);
-    if (since == it.over_since.end()) {
-      if (task.tail_share > 1) it.over_since[task.run] = it.heard;
+    const auto since = it.over_target_since.find(task.run);
+    if (since == it.over_target_since.end()) {
+      if (task.tail_share > 1)
+        it.over_target_since[task.run] = it.last_timely_heartbeat_at;
       continue;
     }
-    const bool over_too_long = it.heard - since->second >= detail::stop_after;
+    const bool over_too_long =
+        it.last_timely_heartbeat_at - since->second >= detail::stop_after;
     const double until = over_too_long ? detail::resume_headroom : 1;
     if (task.tail_share * until <= 1) {
-      it.over_since.erase(since);
+      it.over_target_since.erase(since);
     } else if (over_too_long) {
       stop = true;
     }
@@ -153,27 +155,30 @@
 
 void fleet_scheduler::mark_throttled(worker_view& it,
                                      const std::vector<backfill_task>& tasks) {
-  std::erase_if(it.held_since,
+  std::erase_if(it.throttled_since,
                 [&](const auto& p) { return !it.rows.contains(p.first); });
   for (const backfill_task& backfill : tasks) {
     if (backfill.share < detail::throttled_share) {
-      workers_.marks().held_back.add(it);
+      workers_.groups().held_back.add(it);
       const auto since =
-          it.held_since.try_emplace(backfill.run, it.heard).first;
-      if (it.heard - since->second >= detail::move_after) {
-        it.unfit_until[backfill.image] = it.heard + detail::image_ban_time;
+          it.throttled_since
+              .try_emplace(backfill.run, it.last_timely_heartbeat_at)
+              .first;
+      if (it.last_timely_heartbeat_at - since->second >= detail::move_after) {
+        it.image_barred_until[backfill.image] =
+            it.last_timely_heartbeat_at + detail::image_ban_time;
       }
     } else if (backfill.share >= detail::unthrottled_share) {
-      it.held_since.erase(backfill.run);
+      it.throttled_since.erase(backfill.run);
     }
   }
 }
 
 bool fleet_scheduler::may_move(const worker_view& it,
                                const run_key& run) const {
-  const auto since = it.held_since.find(run);
-  if (since == it.held_since.end()) return false;
-  const milliseconds held = it.heard - since->second;
+  const auto since = it.throttled_since.find(run);
+  if (since == it.throttled_since.end()) return false;
+  const milliseconds held = it.last_timely_heartbeat_at - since->second;
   if (held < detail::move_after) return false;
   const auto row = it.rows.find(run);
   const fleet::step_spec* step = book_.find_step(run.task);
@@ -199,7 +204,8 @@
     best = *value;
   }
   if (it == nullptr || it == &from) return nullptr;
-  const milliseconds held = from.heard - from.held_since.at(run);
+  const milliseconds held =
+      from.last_timely_heartbeat_at - from.throttled_since.at(run);
   const double min_share = held >= detail::forced_move_after
                                ? detail::min_forced_move_share
                                : detail::min_move_share;
@@ -212,12 +218,13 @@
   std::vector<run_key> runs;
   std::vector<worker_view*> all;
   size_t searches = 0;
-  worker_set& held_back = workers_.marks().held_back;
-  held_back.review([](const auto& it) { return !it.held_since.empty(); });
-  for (worker_view* throttled : held_back.from(last_move_ordinal_)) {
+  worker_set& held_back = workers_.groups().held_back;
+  held_back.retain_if(
+      [](const auto& it) { return !it.throttled_since.empty(); });
+  for (worker_view* throttled : held_back.starting_after(last_move_ordinal_)) {
     worker_view& from = *throttled;
     last_move_ordinal_ = from.ordinal;
-    for (const auto& [run, since] : from.held_since) {
+    for (const auto& [run, since] : from.throttled_since) {
       if (!may_move(from, run)) continue;
       if (runs.size() >= detail::max_moves) return runs;
       if (++searches > detail::max_searches) return runs;
@@ -225,13 +232,14 @@
       worker_view* target = find_better_worker(from, run, all);
       const fleet::step_spec& spec = *book_.find_step(run.task);
       const bool requeue =
-          spec.saves_progress() && from.heard - since >= detail::requeue_after;
+          spec.saves_progress() &&
+          from.last_timely_heartbeat_at - since >= detail::requeue_after;
       if (target == nullptr && !requeue) continue;
       if (target != nullptr) {
         target->load.add(run.task, spec, model_.id_of(spec.image()));
         // No start is proposed yet, so the load is recomputed before the next
         // use.
-        target->load_is_old = true;
+        target->load_is_stale = true;
       }
       runs.push_back(run);
     }
@@ -253,11 +261,11 @@
                                    const std::vector<image_use>& use) {
   load_forecast& forecast = forecasts_[detail::step_key(task.run.task)];
   const image_id image = task.image;
-  const time_point read_at = it.heard - detail::reading_age;
+  const time_point read_at = it.last_timely_heartbeat_at - detail::reading_age;
   if (forecast.known()) {
     const double expected = forecast.at(read_at);
     const double modelled = expected * (1 + added_load(image, use));
-    double& excess = it.excess[task.run];
+    double& excess = it.load_excess[task.run];
     excess += detail::excess_weight * (task.load - modelled - excess);
     model_.observe(image, task.load / expected - 1, use);
   }
@@ -281,8 +289,8 @@
                                         const serving_task& task,
                                         std::vector<backfill_task>& tasks) {
   const image_id image = task.image;
-  const auto known = it.excess.find(task.run);
-  const double excess = known == it.excess.end() ? 0 : known->second;
+  const auto known = it.load_excess.find(task.run);
+  const double excess = known == it.load_excess.end() ? 0 : known->second;
   const double spare = max_load - std::clamp(excess - detail::excess_noise, 0.0,
                                              detail::max_excess);
   const double own = own_load(task.run.task, detail::order_age);
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -163,7 +163,7 @@
     report_late_start(it, step.spec.long_running());
     proposed_[it.task] = it.worker->id;
     it.worker->proposed[{it.task, it.run}] = step.spec;
-    workers_.marks().proposing.add(*it.worker);
+    workers_.groups().proposing.add(*it.worker);
     fleet::run_start& start = *out.add_starts();
     *start.mutable_task() = to_ref(it.task);
     start.set_run(static_cast<uint32_t>(it.run.value()));
--- a/fleet/reservation-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -88,7 +88,7 @@
   size_t reservations(uint64_t job) {
     size_t n = 0;
     for (const auto& [id, it] : controller.workers().views()) {
-      for (const kept_room& entry : it.kept) {
+      for (const capacity_reservation& entry : it.reservations) {
         n += entry.step.job == job_number(job) ? 1U : 0U;
       }
     }
--- a/fleet/reservations.cc
+++ b/fleet/reservations.cc
@@ -48,8 +48,8 @@
                            ? static_cast<double>(spec.estimate_ms()) / ms_per_s
                            : default_run_s;
   const auto row = it.rows.find(run);
-  const auto sent = it.sent.find(run);
-  if (row == it.rows.end() || sent == it.sent.end()) return whole;
+  const auto sent = it.starts_sent_at.find(run);
+  if (row == it.rows.end() || sent == it.starts_sent_at.end()) return whole;
   const double percent = row->second.percent();
   const double left = std::max(0.0, full_percent - percent);
   const double by_estimate = whole * left / full_percent;
@@ -84,7 +84,8 @@
 }
 
 /// True if tasks of that priority must not use the reservation.
-bool fleet_scheduler::blocks(const kept_room& kept, uint32_t priority) const {
+bool fleet_scheduler::blocks(const capacity_reservation& kept,
+                             uint32_t priority) const {
   return priority_of(kept.step) <= priority;
 }
 
@@ -151,7 +152,7 @@
   resources need{it.load.cpu + spec.cpu_milli(),
                  it.load.memory_mb + spec.memory_mb(),
                  uint64_t{it.load.accelerators} + spec.accelerators()};
-  for (const kept_room& kept : it.kept) {
+  for (const capacity_reservation& kept : it.reservations) {
     if (!blocks(kept, step.priority)) continue;
     need.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
@@ -201,9 +202,9 @@
   worker_view& it = *worker.worker;
   if (!meets_constraints(it, step)) return std::nullopt;
   auto same = static_cast<uint32_t>(
-      std::count_if(it.kept.begin(), it.kept.end(),
+      std::count_if(it.reservations.begin(), it.reservations.end(),
                     [&](const auto& kept) { return kept.step == step.first; }));
-  same += it.load.of_step(step.first);
+  same += it.load.tasks_of_step(step.first);
   const uint32_t spread = step.spec.anti_affinity();
   if (spread > 0 && same >= spread) return std::nullopt;
   const auto chosen = choose_releases(need, worker.options, limit);
@@ -224,9 +225,9 @@
 size_t fleet_scheduler::drop_stale() {
   std::map<task_key, uint32_t> wanted;
   size_t n = 0;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
     const bool usable = is_usable(it);
-    std::erase_if(it.kept, [&](const kept_room& kept) {
+    std::erase_if(it.reservations, [&](const capacity_reservation& kept) {
       if (!usable || kept.until <= clock_.now()) return true;
       const auto [left, inserted] = wanted.try_emplace(kept.step);
       if (inserted) left->second = unplaced(kept.step, true);
@@ -234,8 +235,8 @@
       --left->second;
       return false;
     });
-    n += it.kept.size();
-    return !it.kept.empty();
+    n += it.reservations.size();
+    return !it.reservations.empty();
   });
   return n;
 }
@@ -261,14 +262,14 @@
 std::optional<fleet_scheduler::reservation_ref>
 fleet_scheduler::find_less_urgent(uint32_t priority) {
   std::optional<reservation_ref> out;
-  workers_.marks().with_rooms.review([&](worker_view& it) {
-    for (size_t i = 0; i < it.kept.size(); ++i) {
-      const uint32_t own = priority_of(it.kept[i].step);
+  workers_.groups().with_reservations.retain_if([&](worker_view& it) {
+    for (size_t i = 0; i < it.reservations.size(); ++i) {
+      const uint32_t own = priority_of(it.reservations[i].step);
       if (own <= priority) continue;
       priority = own;
       out = reservation_ref{&it, i};
     }
-    return !it.kept.empty();
+    return !it.reservations.empty();
   });
   return out;
 }
@@ -355,9 +356,10 @@
       1, settings_.max_reservation_evaluations / std::max<size_t>(1, n));
   out.total = drop_stale();
   std::map<task_key, uint32_t> reserved;
-  workers_.marks().with_rooms.review([&](const worker_view& it) {
-    for (const kept_room& entry : it.kept) ++reserved[entry.step];
-    return !it.kept.empty();
+  workers_.groups().with_reservations.retain_if([&](const worker_view& it) {
+    for (const capacity_reservation& entry : it.reservations)
+      ++reserved[entry.step];
+    return !it.reservations.empty();
   });
   milliseconds longest{0};
   const std::vector<delayed_step> late = delayed_steps(settings_.reserve_after);
@@ -389,7 +391,7 @@
                                       std::vector<worker_releases>& workers,
                                       reservation_round& round) {
   const fleet::step_spec& spec = step.spec;
-  workers_.marks().with_rooms.add(*it.worker);
+  workers_.groups().with_reservations.add(*it.worker);
   it.worker->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
                              spec.accelerators(),
                              clock_.now() + settings_.reservation_ttl});
--- a/fleet/scheduler.cc
+++ b/fleet/scheduler.cc
@@ -46,7 +46,7 @@
     const fleet::step_spec* step = book_.find_step(run.task);
     if (step != nullptr) add(run.task, *step);
   }
-  for (const auto& [run, step] : it.proposed) add(run.task, step);
+  for (const auto& [run, step] : it.proposed_starts) add(run.task, step);
   if (!it.lists_unrecorded) return load;
   for (const auto& [run, row] : it.rows) {
     const fleet::step_spec* step = book_.find_step(run.task);
@@ -59,13 +59,14 @@
 /// Why the worker gets no new work, as a log value; null if usable.
 const char* fleet_scheduler::exclusion_reason(const worker_view& it) const {
   const time_point now = clock_.now();
-  if (!it.known) return "unheard";
-  if (it.over || it.doubtful) return "another-life";
-  if (it.leaves || it.beat.draining()) return "leaving";
+  if (!it.has_heartbeat) return "unheard";
+  if (it.loss_proposed || it.superseded) return "another-life";
+  if (it.is_leaving || it.beat.draining()) return "leaving";
   if (is_evacuated(it)) return "evacuated";
   if (it.avoided_until > now) return "avoided";
-  if (it.heard <= it.taken_back_at) return "taken-back";
-  const time_point silent_at = it.heard + settings_.silent_limit;
+  if (it.last_timely_heartbeat_at <= it.starts_recalled_at) return "taken-back";
+  const time_point silent_at =
+      it.last_timely_heartbeat_at + settings_.silent_limit;
   if (now >= std::max(silent_at, it.overdue_at())) return "silent";
   return nullptr;
 }
@@ -82,15 +83,15 @@
   std::vector<worker_view*> all;
   for (auto& [id, it] : workers_.views()) {
     if (!is_usable(it)) continue;
-    if (std::exchange(it.load_is_old, false)) it.load = load_of(it);
+    if (std::exchange(it.load_is_stale, false)) it.load = load_of(it);
     all.push_back(&it);
   }
   return all;
 }
 
 bool fleet_scheduler::has_open_call(const worker_view& it) const {
-  return it.respond &&
-         clock_.now() - it.asked + it.delay < settings_.open_call_limit;
+  return it.respond && clock_.now() - it.call_received_at + it.delay <
+                           settings_.open_call_limit;
 }
 
 /// Workers on which the current plan may place tasks.
@@ -104,10 +105,10 @@
 /// Usable workers with an open call, the most recent first.
 std::vector<worker_view*> fleet_scheduler::open_candidates() {
   std::vector<worker_view*> all =
-      workers_.marks().held_calls.last(settings_.max_open_candidates);
+      workers_.groups().held_calls.last(settings_.max_open_candidates);
   std::erase_if(all, [&](worker_view* it) {
     if (!is_usable(*it) || !has_open_call(*it)) return true;
-    if (std::exchange(it->load_is_old, false)) it->load = load_of(*it);
+    if (std::exchange(it->load_is_stale, false)) it->load = load_of(*it);
     return false;
   });
   return all;
@@ -168,7 +169,7 @@
       const task_key first{number, time, step, 0};
       open =
           open ||
-          (book_.step_is_due(job, time, step) &&
+          (book_.dependencies_done(job, time, step) &&
            (retry_is_due(first) ||
             may_fit_on_freed_worker(job.spec.steps(static_cast<int>(step)))));
     }
@@ -202,9 +203,10 @@
   wall_ms_ = wall_ms;
   wall_read_at_ = clock_.now();
   proposed_.clear();
-  workers_.marks().proposing.review([this](worker_view& it) {
-    for (const auto& [run, step] : it.proposed) proposed_[run.task] = it.id;
-    return !it.proposed.empty();
+  workers_.groups().proposing.retain_if([this](worker_view& it) {
+    for (const auto& [run, step] : it.proposed_starts)
+      proposed_[run.task] = it.id;
+    return !it.proposed_starts.empty();
   });
   record_suspect_trials();
   fleet::run_starts out;
@@ -248,7 +250,7 @@
     for (uint32_t step = 0; step < steps.size(); ++step) {
       const step_entry& it = steps[step];
       if (it.done + it.running >= it.tasks.size()) continue;
-      if (!book_.step_is_due(*job.entry, time, step)) continue;
+      if (!book_.dependencies_done(*job.entry, time, step)) continue;
       plan_step(job, time, step, all, out);
     }
   }
@@ -265,7 +267,7 @@
   const auto capacity = static_cast<int64_t>(it.beat.cpu_milli());
   return capacity - use(it.load.cpu - it.load.serving_cpu, detail::percent) -
          use(it.load.serving_cpu, settings_.serving_use_percent) -
-         use(it.load.fill_cpu, detail::percent);
+         use(it.load.backfill_cpu, detail::percent);
 }
 
 /// True if a worker has free capacity for a task of the step. Reservations for
@@ -288,7 +290,7 @@
   // the crash of the previous one is known.
   if (workers_.is_unsettled(it) && has_interrupted_tasks(step.first))
     return false;
-  for (const kept_room& kept : it.kept) {
+  for (const capacity_reservation& kept : it.reservations) {
     if (kept.step == step.first || !blocks(kept, step.priority)) continue;
     taken.add({kept.cpu, kept.memory_mb, kept.accelerators});
   }
@@ -300,8 +302,8 @@
 /// True if a backfill task would make progress on the worker.
 bool fleet_scheduler::allows_backfill(const worker_view& it,
                                       const pending_step& step) const {
-  const auto unfit = it.unfit_until.find(step.image);
-  if (unfit != it.unfit_until.end() && unfit->second > clock_.now()) {
+  const auto unfit = it.image_barred_until.find(step.image);
+  if (unfit != it.image_barred_until.end() && unfit->second > clock_.now()) {
     return false;
   }
   const auto wanted = static_cast<int64_t>(step.spec.cpu_milli() *
@@ -330,7 +332,7 @@
                               const pending_step& step) const {
   const fleet::step_spec& spec = step.spec;
   double score = static_cast<double>(expected_free_cpu(it));
-  score -= detail::same_step_penalty * it.load.of_step(step.first);
+  score -= detail::same_step_penalty * it.load.tasks_of_step(step.first);
   const std::string& rack = spec.affinity_rack();
   if (!rack.empty() && has_label(it.beat, rack)) score += detail::rack_bonus;
   if (spec.fills()) {
@@ -353,7 +355,7 @@
 bool fleet_scheduler::is_cold(const worker_view& it) const {
   if (it.beat.cold_left_ms() == 0) return false;
   const milliseconds left(static_cast<int64_t>(it.beat.cold_left_ms()));
-  return clock_.now() - it.told < left;
+  return clock_.now() - it.last_heartbeat_at < left;
 }
 
 /// True if the worker would get an order at once or within `soon`. A worker
@@ -379,7 +381,7 @@
   const std::string& label = spec.requires_label();
   if (!label.empty() && !has_label(it.beat, label)) return false;
   return spec.anti_affinity() == 0 ||
-         it.load.of_step(step.first) < spec.anti_affinity();
+         it.load.tasks_of_step(step.first) < spec.anti_affinity();
 }
 
 }  // namespace kestrelreel
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -322,7 +322,7 @@
   bool may_evict(const run_key& run, uint32_t priority) const;
   double eviction_cost(const worker_view& it, const run_key& run) const;
   uint32_t priority_of(const task_key& step) const;
-  bool blocks(const kept_room& kept, uint32_t priority) const;
+  bool blocks(const capacity_reservation& kept, uint32_t priority) const;
   resources shortage(const worker_view& it, const pending_step& step) const;
   std::vector<release_option> release_options(
       const worker_view& it, uint32_t priority,
--- a/fleet/suspects.cc
+++ b/fleet/suspects.cc
@@ -26,7 +26,7 @@
 
 /// True when one of the worker's runs may still turn out to crash it.
 bool fleet_scheduler::has_unproven_run(const worker_view& it) const {
-  if (!it.proposed.empty()) return true;
+  if (!it.proposed_starts.empty()) return true;
   const auto& runs = book_.runs_on(it.id);
   return std::any_of(runs.begin(), runs.end(), [&](const run_key& run) {
     const fleet::step_spec* step = book_.find_step(run.task);
@@ -37,7 +37,7 @@
 /// Marks the workers on which a suspect was started and is not listed yet.
 void fleet_scheduler::record_suspect_trials() {
   for (const worker_id& id : suspect_workers_) {
-    if (worker_view* it = workers_.find(id)) it->tries.reset();
+    if (worker_view* it = workers_.find(id)) it->trial_step.reset();
   }
   suspect_workers_.clear();
   for (const task_key& suspect : book_.suspects()) {
@@ -66,7 +66,7 @@
                                            const task_key& task) {
   worker_view* it = workers_.find(id);
   if (it == nullptr) return;
-  it->tries = {task.job, task.time, task.step, 0};
+  it->trial_step = {task.job, task.time, task.step, 0};
   suspect_workers_.push_back(id);
 }
 
@@ -83,14 +83,14 @@
                                       const task_entry& task) const {
   const worker_view* it = workers_.find(task.worker);
   return it != nullptr && it->lapsed.contains({key, task.run}) &&
-         clock_.now() < it->over_at + detail::crash_detection_wait;
+         clock_.now() < it->lease_expires_at + detail::crash_detection_wait;
 }
 
 /// True when another suspect is being tried on the worker, unless both tasks
 /// belong to one gang.
 bool fleet_scheduler::is_testing(const worker_view& it,
                                  const pending_step& step) {
-  return it.tries && !(step.spec.gang() && *it.tries == step.first);
+  return it.trial_step && !(step.spec.gang() && *it.trial_step == step.first);
 }
 
 /// The placement value of a worker for a suspect; none where the suspect must
@@ -103,7 +103,7 @@
   *value -= detail::running_task_cost * static_cast<double>(it.rows.size());
   // The worker's runs are examined only where they can change the result.
   if (least && *value <= *least) return std::nullopt;
-  if (has_unproven_run(it) && it.tries != step.first) {
+  if (has_unproven_run(it) && it.trial_step != step.first) {
     *value -= detail::unproven_task_cost;
   }
   if (least && *value <= *least) return std::nullopt;
