--- a/fleet/busy-leader-far-behind-test.cc
+++ b/fleet/busy-leader-far-behind-test.cc
@@ -5,12 +5,12 @@
 #include "fleet/busy-leader-test-rows.h"
 
 using namespace kestrelreel;
-using busy::setting;
+using busy::scenario;
 
 TEST_GROUP(busy_leader_far_behind){};
 
 TEST(busy_leader_far_behind, keeps_leases_and_orders) {
-  const setting rows[] = {
+  const scenario rows[] = {
       {"answering is dearer", 400, {.answer = 4'000}},
   };
   busy::check_rows(rows);
--- a/fleet/busy-leader-test-rows.h
+++ b/fleet/busy-leader-test-rows.h
@@ -10,14 +10,14 @@
 
 namespace kestrelreel::busy {
 
-constexpr int lasting_jobs = 20;
-constexpr uint32_t lasting_width = 10;
+constexpr int long_running_jobs = 20;
+constexpr uint32_t tasks_per_long_running_job = 10;
 constexpr int lost = 40;
 
-inline outcome play(const setting& it) {
+inline outcome play(const scenario& it) {
   busy_world world(it);
   world.pass(milliseconds(3'000));
-  world.serve(lasting_jobs, lasting_width);
+  world.submit_long_running(long_running_jobs, tasks_per_long_running_job);
   world.pass(milliseconds(10'000));
   world.lose(lost);
   world.pass(milliseconds(20'000));
@@ -31,14 +31,14 @@
   CHECK_TRUE_TEXT(found <= most, text.c_str());
 }
 
-inline void check_rows(std::span<const setting> rows) {
-  for (const setting& it : rows) {
+inline void check_rows(std::span<const scenario> rows) {
+  for (const scenario& it : rows) {
     const outcome out = play(it);
-    STRCMP_EQUAL_TEXT("", out.wrong.c_str(), it.name);
+    STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     CHECK_TRUE_TEXT(out.done > 0, it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, it.name);
-    check_within(most_away, out.longest_away, it.name, "away");
-    check_within(most_order_lag, out.longest_order_lag, it.name,
+    check_within(max_downtime, out.longest_downtime, it.name, "away");
+    check_within(max_order_lag, out.longest_order_lag, it.name,
                  "orders behind the book");
   }
 }
--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -17,20 +17,21 @@
 
 class busy_world final : public fleet_log {
  public:
-  explicit busy_world(const setting& it)
-      : setting_(it), leader_(make_settings(), clock_, *this, metrics_) {
-    for (int i = 0; i < it.intakes; ++i) {
+  explicit busy_world(const scenario& it)
+      : scenario_(it), leader_(make_settings(), clock_, *this, metrics_) {
+    for (int i = 0; i < it.intake_boxes; ++i) {
       boxes_.push_back(std::make_unique<intake_box>(clock_, metrics_));
     }
     for (int i = 0; i < it.workers; ++i) {
-      caller& c = callers_.emplace_back();
-      c.it.id = c.it.name = "w" + std::to_string(i);
-      c.it.address = c.it.id + ":1";
-      c.it.born = clock_.now();
-      c.it.born_ms = slow::first_born;
-      c.it.lease = clock_.now();
-      c.it.next_call = clock_.now() + milliseconds(i % it.first_calls.count());
-      c.box = i % it.intakes;
+      busy_worker& c = workers_.emplace_back();
+      c.state.id = c.state.name = "w" + std::to_string(i);
+      c.state.address = c.state.id + ":1";
+      c.state.born = clock_.now();
+      c.state.born_ms = slow::start_unix_ms;
+      c.state.lease = clock_.now();
+      c.state.next_call =
+          clock_.now() + milliseconds(i % it.first_call_spread.count());
+      c.box = i % it.intake_boxes;
     }
     leader_.leads(true);
     fleet::fleet_request request;
@@ -41,44 +42,44 @@
   bool may_decide() override { return true; }
   term_number term() const override { return term_number(term_); }
   absl::Status propose(const fleet::fleet_command& command) override {
-    entries_.push_back({clock_.now() + commit_time, command});
+    entries_.push_back({clock_.now() + commit_delay, command});
     return absl::OkStatus();
   }
 
   void pass(milliseconds length) {
     const time_point end = clock_.now() + length;
-    while (clock_.now() < end && out_.wrong.empty()) one_step();
+    while (clock_.now() < end && out_.violation.empty()) one_step();
   }
 
   /// An endless task comes for each worker.
-  void keep_busy() {
-    const auto n = static_cast<uint32_t>(setting_.workers);
+  void submit_endless_tasks() {
+    const auto n = static_cast<uint32_t>(scenario_.workers);
     fleet::step_spec step = test_world::make_step(n);
     step.set_anti_affinity(1);
     submit(endless_job, step);
   }
 
   /// Lasting tasks come, `n` jobs of `width`.
-  void serve(int n, uint32_t width) {
+  void submit_long_running(int n, uint32_t tasks_per_job) {
     for (int i = 0; i < n; ++i) {
-      fleet::step_spec step = test_world::make_step(width);
+      fleet::step_spec step = test_world::make_step(tasks_per_job);
       step.set_long_running(true);
       step.set_target_ms(100);
       step.set_image("serving");
-      submit(++lasting_jobs_, step);
+      submit(++long_running_jobs_, step);
     }
   }
 
   /// The leader's answers take so long to the first `n` boxes from now on, and
   /// their calls so long to it.
-  void delay(int n, milliseconds answers, milliseconds calls) {
+  void delay_boxes(int n, milliseconds answers, milliseconds calls) {
     for (size_t i = 0; i < static_cast<size_t>(n); ++i) {
-      boxes_[i]->answers_late = answers;
-      boxes_[i]->calls_late = calls;
+      boxes_[i]->answer_delay = answers;
+      boxes_[i]->call_delay = calls;
     }
   }
 
-  void set_jobs_per_s(double n) { setting_.jobs_per_s = n; }
+  void set_jobs_per_s(double n) { scenario_.jobs_per_s = n; }
 
   /// Another box leads: it knows the book and no worker.
   void change_leader() {
@@ -96,43 +97,43 @@
 
   /// The first `n` workers are lost for good, with what they run.
   void lose(int n) {
-    for (int i = 0; i < n; ++i) callers_[static_cast<size_t>(i)].lost = true;
+    for (int i = 0; i < n; ++i) workers_[static_cast<size_t>(i)].lost = true;
   }
   /// So for the first `n` that run lasting tasks.
-  void interrupt_serving(int n, interruption how) {
-    for (caller* c : serving(callers_, n)) {
+  void interrupt_long_running(int n, interruption how) {
+    for (busy_worker* c : workers_with_long_running(workers_, n)) {
       c->lost = how != interruption::fail;
-      if (how == interruption::leave) ask(make_leave(c->it));
+      if (how == interruption::leave) ask(make_leave(c->state));
       if (how == interruption::fail) end_all(*c, fleet::run_failed);
     }
   }
 
   const outcome& out() {
-    waits_.close(clock_.now(), out_);
+    waits_.finish(clock_.now(), out_);
     return out_;
   }
 
  private:
   void one_step() {
     clock_.advance(step_time);
-    come();
-    share_ways();
-    for (auto& box : boxes_) pass_on(*box);
-    spare_us_ = std::min(spare_us_ + us_per_step, us_per_step);
+    submit_due_jobs();
+    exchange_leader_delays();
+    for (auto& box : boxes_) forward(*box);
+    budget_us_ = std::min(budget_us_ + us_per_step, us_per_step);
     // What a step costs beyond what is left holds up the next ones.
-    while (spare_us_ > 0 && lead()) {
+    while (budget_us_ > 0 && run_next_source()) {
     }
-    for (size_t i = 0; i < callers_.size(); ++i) live(i);
-    for (reply& it : std::exchange(replies_, {})) take(it);
+    for (size_t i = 0; i < workers_.size(); ++i) advance_worker(i);
+    for (reply& it : std::exchange(replies_, {})) handle_answer(it);
   }
 
   /// Short jobs, spread evenly.
-  void come() {
+  void submit_due_jobs() {
     constexpr double ms_per_s = 1'000;
-    due_jobs_ += setting_.jobs_per_s * step_time.count() / ms_per_s;
+    due_jobs_ += scenario_.jobs_per_s * step_time.count() / ms_per_s;
     for (; due_jobs_ >= 1; --due_jobs_) {
-      fleet::step_spec step = test_world::make_step(setting_.width);
-      step.set_estimate_ms(static_cast<uint64_t>(short_work.count()));
+      fleet::step_spec step = test_world::make_step(scenario_.tasks_per_job);
+      step.set_estimate_ms(static_cast<uint64_t>(short_task_time.count()));
       submit(first_short_job + ++short_jobs_, step);
     }
   }
@@ -146,7 +147,7 @@
   }
 
   /// The boxes tell each other of their ways to the leader.
-  void share_ways() {
+  void exchange_leader_delays() {
     if (clock_.now() % tick_interval != milliseconds(0)) return;
     for (auto& box : boxes_) {
       std::optional<milliseconds> shortest;
@@ -159,16 +160,16 @@
     }
   }
 
-  void pass_on(intake_box& box) {
+  void forward(intake_box& box) {
     while (!box.replies.empty() &&
-           box.replies.front().arrives + box.answers_late <= clock_.now()) {
+           box.replies.front().arrives + box.answer_delay <= clock_.now()) {
       fleet::beat_answers one;
       *one.add_answers() = std::move(box.replies.front().answer);
       box.replies.pop_front();
       box.intake.answered(one);
     }
     if (clock_.now() % tick_interval == milliseconds(0)) box.intake.expire();
-    if (clock_.now() % pass_on_interval != milliseconds(0)) return;
+    if (clock_.now() % forward_interval != milliseconds(0)) return;
     if (box.intake.has_news()) {
       box.sent.push_back(
           {clock_.now(), box.intake.collect("leader" + std::to_string(term_))});
@@ -176,22 +177,22 @@
   }
 
   /// The next piece of work in turn; false where there is none.
-  bool lead() {
-    const int sources = 4 + setting_.intakes;
+  bool run_next_source() {
+    const int sources = 4 + scenario_.intake_boxes;
     for (int i = 0; i < sources; ++i) {
-      at_ = (at_ + 1) % sources;
-      const double cost = work(at_);
+      last_source_ = (last_source_ + 1) % sources;
+      const double cost = run_source(last_source_);
       if (cost == 0) continue;
-      spare_us_ -= cost;
+      budget_us_ -= cost;
       return true;
     }
     return false;
   }
 
   /// What it cost, 0 where there was nothing to do.
-  double work(int source) {
+  double run_source(int source) {
     const time_point now = clock_.now();
-    const costs& cost = setting_.cost;
+    const step_costs& cost = scenario_.cost;
     if (source == 0) {
       if (now - ticked_at_ < tick_interval) return 0;
       ticked_at_ = now;
@@ -204,26 +205,26 @@
       return charged([this] { leader_.settle(); });
     }
     if (source == 2) {
-      if (entries_.empty() || entries_.front().lasts > now) return 0;
-      return charged([this] { apply(); }, cost.entry - cost.turn);
+      if (entries_.empty() || entries_.front().commits_at > now) return 0;
+      return charged([this] { apply(); }, cost.entry - cost.loop_turn);
     }
     if (source == 3) {
       if (submissions_.empty()) return 0;
       const double all = charged([this] { ask(submissions_.front()); },
-                                 cost.entry - cost.turn);
+                                 cost.entry - cost.loop_turn);
       submissions_.pop_front();
       return all;
     }
-    return read(*boxes_[static_cast<size_t>(source - 4)]);
+    return read_batch(*boxes_[static_cast<size_t>(source - 4)]);
   }
 
-  double read(intake_box& box) {
+  double read_batch(intake_box& box) {
     const bool due = !box.sent.empty() &&
-                     box.sent.front().at + box.calls_late <= clock_.now();
+                     box.sent.front().at + box.call_delay <= clock_.now();
     if (!due) return 0;
     const fleet::beat_batch batch = std::move(box.sent.front().batch);
     box.sent.pop_front();
-    for (const fleet::worker_beat& it : batch.beats()) note_read(it);
+    for (const fleet::worker_beat& it : batch.beats()) record_read(it);
     return charged(
         [&] {
           leader_.take_beats(batch, [this, &box](fleet::beat_answer answer) {
@@ -231,15 +232,15 @@
             box.replies.push_back({clock_.now(), std::move(answer)});
           });
         },
-        setting_.cost.read * batch.beats_size());
+        scenario_.cost.read * batch.beats_size());
   }
 
-  void note_read(const fleet::worker_beat& beat) {
-    caller& c = callers_[std::stoul(beat.worker().substr(1))];
+  void record_read(const fleet::worker_beat& beat) {
+    busy_worker& c = workers_[std::stoul(beat.worker().substr(1))];
     if (c.lost || beat.sequence() <= c.read) return;
     if (c.read > 0) {
-      out_.longest_unread =
-          std::max(out_.longest_unread, clock_.now() - c.read_at);
+      out_.longest_read_gap =
+          std::max(out_.longest_read_gap, clock_.now() - c.read_at);
     }
     c.read = beat.sequence();
     c.read_at = clock_.now();
@@ -254,15 +255,15 @@
     const uint64_t looks_before = looks;
     const uint64_t rooms_before = rooms;
     const uint64_t answers_before = out_.answers;
-    const double begun = thread_us();
+    const double begun = thread_cpu_us();
     work();
-    const double took = thread_us() - begun;
+    const double took = thread_cpu_us() - begun;
     out_.leader_us += took;
-    if (setting_.processor_share > 0) return took / setting_.processor_share;
-    const costs& cost = setting_.cost;
-    return more + cost.turn +
-           cost.look * static_cast<double>(looks - looks_before) +
-           cost.room_look * static_cast<double>(rooms - rooms_before) +
+    if (scenario_.processor_share > 0) return took / scenario_.processor_share;
+    const step_costs& cost = scenario_.cost;
+    return more + cost.loop_turn +
+           cost.placement_check * static_cast<double>(looks - looks_before) +
+           cost.capacity_check * static_cast<double>(rooms - rooms_before) +
            cost.answer * static_cast<double>(out_.answers - answers_before);
   }
 
@@ -272,87 +273,88 @@
     leader_.applied(command);
     for (const auto& it : command.batch().commands()) {
       for (const fleet::run_start& start : it.starts().starts()) {
-        waits_.kept({to_key(start.task()), run_number(start.run())},
-                    clock_.now());
+        waits_.start_committed({to_key(start.task()), run_number(start.run())},
+                               clock_.now());
       }
     }
   }
 
-  void live(size_t i) {
-    caller& c = callers_[i];
+  void advance_worker(size_t i) {
+    busy_worker& c = workers_[i];
     const time_point now = clock_.now();
-    if (c.lost) return c.lapsed ? void() : drop(c);
-    for (auto run = c.it.runs.begin(); run != c.it.runs.end();) {
+    if (c.lost) return c.lapsed ? void() : drop_runs(c);
+    for (auto run = c.state.runs.begin(); run != c.state.runs.end();) {
       const auto next = std::next(run);
       if (now >= run->second) end_run(c, run->first, fleet::run_done);
       run = next;
     }
-    if (now >= c.it.lease) lapse(c);
-    if (c.it.out != 0 && now - c.it.sent >= answer_limit) turn_elsewhere(c);
-    if (c.it.out == 0 && now >= c.it.next_call) call(i);
+    if (now >= c.state.lease) expire_lease(c);
+    if (c.state.out != 0 && now - c.state.sent >= answer_limit) try_next_box(c);
+    if (c.state.out == 0 && now >= c.state.next_call) send_heartbeat(i);
   }
 
-  void drop(caller& c) {
+  void drop_runs(busy_worker& c) {
     c.lapsed = true;
-    for (const auto& [run, ends] : c.it.runs) note_gone(run.task);
-    c.it.runs.clear();
+    for (const auto& [run, ends] : c.state.runs) record_interruption(run.task);
+    c.state.runs.clear();
   }
 
-  void lapse(caller& c) {
-    out_.lapsed += static_cast<int>(c.it.runs.size());
+  void expire_lease(busy_worker& c) {
+    out_.lapsed += static_cast<int>(c.state.runs.size());
     end_all(c, fleet::run_lapsed);
-    ends_.lapse(c.it.id);
+    ends_.expire_lease(c.state.id);
   }
 
-  void end_all(caller& c, fleet::run_outcome outcome) {
-    const auto runs = c.it.runs;
+  void end_all(busy_worker& c, fleet::run_outcome outcome) {
+    const auto runs = c.state.runs;
     for (const auto& [run, ends] : runs) end_run(c, run, outcome);
   }
 
-  void turn_elsewhere(caller& c) {
-    c.it.out = 0;
-    c.box = (c.box + 1) % setting_.intakes;
-    c.it.next_call = clock_.now();
+  void try_next_box(busy_worker& c) {
+    c.state.out = 0;
+    c.box = (c.box + 1) % scenario_.intake_boxes;
+    c.state.next_call = clock_.now();
   }
 
-  void end_run(caller& c, run_key run, fleet::run_outcome outcome) {
-    c.it.runs.erase(run);
-    fleet::run_end& end = c.it.ended.emplace_back();
-    end.set_number(++c.it.end_number);
+  void end_run(busy_worker& c, run_key run, fleet::run_outcome outcome) {
+    c.state.runs.erase(run);
+    fleet::run_end& end = c.state.ended.emplace_back();
+    end.set_number(++c.state.end_number);
     *end.mutable_task() = to_ref(run.task);
     end.set_run(static_cast<uint32_t>(run.run.value()));
     end.set_outcome(outcome);
-    c.it.next_call = std::min(c.it.next_call, clock_.now() + after_end);
-    note_gone(run.task);
+    c.state.next_call =
+        std::min(c.state.next_call, clock_.now() + call_delay_after_end);
+    record_interruption(run.task);
     if (outcome != fleet::run_done) return;
     ++out_.done;
     done_.insert(run.task);
-    ends_.add(run.task, {c.it.id, end.number(), clock_.now()});
+    ends_.add(run.task, {c.state.id, end.number(), clock_.now()});
   }
 
-  void call(size_t i) {
-    machine& it = callers_[i].it;
+  void send_heartbeat(size_t i) {
+    simulated_worker& it = workers_[i].state;
     it.out = ++it.sequence;
     it.sent = clock_.now();
-    boxes_[static_cast<size_t>(callers_[i].box)]->intake.take(
+    boxes_[static_cast<size_t>(workers_[i].box)]->intake.take(
         slow::make_beat(it, clock_.now()),
         [this, i, n = it.sequence](fleet::fleet_response response) {
           replies_.push_back({i, n, std::move(response)});
         });
   }
 
-  void take(reply& answer) {
-    caller& c = callers_[answer.caller];
-    machine& it = c.it;
+  void handle_answer(reply& answer) {
+    busy_worker& c = workers_[answer.worker];
+    simulated_worker& it = c.state;
     if (c.lost || it.out != answer.sequence) return;
-    if (answer.response.status() != fleet::fleet_ok) return turn_elsewhere(c);
+    if (answer.response.status() != fleet::fleet_ok) return try_next_box(c);
     const fleet::worker_orders& orders = answer.response.orders();
     it.out = 0;
     const milliseconds pause(static_cast<int64_t>(orders.next_beat_ms()));
-    it.next_call = clock_.now() + std::max(pause, after_end);
+    it.next_call = clock_.now() + std::max(pause, call_delay_after_end);
     if (orders.hold_ms() == 0) return;
-    if (setting_.sends_home) {
-      c.box = static_cast<int>(answer.caller) % setting_.intakes;
+    if (scenario_.returns_to_first_box) {
+      c.box = static_cast<int>(answer.worker) % scenario_.intake_boxes;
     }
     it.lease = std::max(
         it.lease,
@@ -360,17 +362,17 @@
     std::erase_if(it.ended, [&](const auto& e) {
       return e.number() <= orders.last_end();
     });
-    fail(ends_.note(it.id, orders.last_end()));
+    fail(ends_.acknowledge(it.id, orders.last_end()));
     for (const auto& stop : orders.stops()) {
       const run_key run{to_key(stop.task()), run_number(stop.run())};
       it.highest[run.task] = std::max(it.highest[run.task], run.run);
       if (it.runs.contains(run)) end_run(c, run, fleet::run_stopped);
     }
-    for (const auto& start : orders.starts()) begin(c, start);
+    for (const auto& start : orders.starts()) start_run(c, start);
   }
 
-  void begin(caller& c, const fleet::start_order& start) {
-    machine& it = c.it;
+  void start_run(busy_worker& c, const fleet::start_order& start) {
+    simulated_worker& it = c.state;
     const run_key run{to_key(start.task()), run_number(start.run())};
     if (run.run <= it.highest[run.task]) return;
     it.highest[run.task] = run.run;
@@ -378,43 +380,45 @@
       fail(to_text(run.task) + " runs twice");
     }
     fail(ends_.start(run.task));
-    if (done_.contains(run.task)) ++out_.started_again;
-    if (it.runs.size() >= slow::worker_room) fail(it.id + " is over its room");
+    if (done_.contains(run.task)) ++out_.restarts_after_success;
+    if (it.runs.size() >= slow::worker_processors)
+      fail(it.id + " is over its room");
     const time_point now = clock_.now();
-    waits_.begun(run, now, out_);
-    it.runs[run] = is_endless(run.task) ? time_point::max() : now + short_work;
+    waits_.started(run, now, out_);
+    it.runs[run] =
+        is_endless(run.task) ? time_point::max() : now + short_task_time;
   }
 
-  void note_gone(const task_key& task) {
+  void record_interruption(const task_key& task) {
     running_.erase(task);
-    if (is_lasting(task)) waits_.gone(task, clock_.now());
+    if (is_long_running(task)) waits_.interrupted(task, clock_.now());
   }
   void fail(const std::string& what) {
-    if (out_.wrong.empty() && !what.empty()) {
-      out_.wrong = what + " at " + std::to_string(clock_.now().count());
+    if (out_.violation.empty() && !what.empty()) {
+      out_.violation = what + " at " + std::to_string(clock_.now().count());
     }
   }
 
-  setting setting_;
+  scenario scenario_;
   test_clock clock_;
   metrics_registry metrics_;
   fleet_controller leader_;
   std::vector<std::unique_ptr<intake_box>> boxes_;
-  std::deque<caller> callers_;
+  std::deque<busy_worker> workers_;
   std::deque<entry> entries_;
   std::deque<fleet::fleet_request> submissions_;
   std::vector<reply> replies_;
   task_waits waits_;
   std::set<task_key> running_;
   std::set<task_key> done_;
-  end_ledger ends_;
+  end_tracker ends_;
   outcome out_;
-  double spare_us_ = 0;
+  double budget_us_ = 0;
   double due_jobs_ = 0;
   uint64_t short_jobs_ = 0;
-  uint64_t lasting_jobs_ = 0;
+  uint64_t long_running_jobs_ = 0;
   uint64_t term_ = 1;
-  int at_ = 0;
+  int last_source_ = 0;
   time_point ticked_at_{};
   time_point settled_at_{};
 };
--- a/fleet/busy-leader-test.cc
+++ b/fleet/busy-leader-test.cc
@@ -11,17 +11,19 @@
 #include "fleet/busy-leader-test-rows.h"
 
 using namespace kestrelreel;
-using busy::setting;
+using busy::scenario;
 
 TEST_GROUP(busy_leader){};
 
 TEST(busy_leader, keeps_leases_and_orders_whatever_its_steps_cost) {
-  const setting rows[] = {
+  const scenario rows[] = {
       {"as usual", 400, {}},
       {"reading is dear", 400, {.read = 2'000}},
       {"answering is dear", 400, {.answer = 2'500}},
-      {"looking is dear", 400, {.look = 20}},
-      {"all of it is dear", 400, {.read = 800, .answer = 800, .look = 10}},
+      {"looking is dear", 400, {.placement_check = 20}},
+      {"all of it is dear",
+       400,
+       {.read = 800, .answer = 800, .placement_check = 10}},
   };
   busy::check_rows(rows);
 }
--- a/fleet/cancel-before-job-test.cc
+++ b/fleet/cancel-before-job-test.cc
@@ -23,15 +23,15 @@
   const row rows[] = {{"the job waits to be proposed", false},
                       {"the job is proposed", true}};
   for (const row& it : rows) {
-    boxes all;
-    slow_worker worker(all, "a", road::direct, 1'000);
+    control_boxes all;
+    slow_worker worker(all, "a", heartbeat_route::direct, 1'000);
     worker.call();
     all.leader().request(
         test_world::make_submit(job, {test_world::make_step(1)}),
         [](const auto&) {});
     if (it.proposed) all.leader().settle();
     std::optional<fleet::fleet_status> status;
-    all.leader().request(cancel_call(),
+    all.leader().request(make_cancel(),
                          [&](const auto& r) { status = r.status(); });
     all.commit();
     LONGS_EQUAL_TEXT(0, worker.call().starts_size(), it.name);
@@ -42,7 +42,7 @@
 }
 
 TEST(cancel_before_job, cancel_of_a_job_that_nobody_sent_tells_so) {
-  boxes all;
-  LONGS_EQUAL(fleet::fleet_no_job, all.ask(cancel_call()).status());
+  control_boxes all;
+  LONGS_EQUAL(fleet::fleet_no_job, all.ask(make_cancel()).status());
   CHECK_TRUE(all.book().jobs().empty());
 }
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -15,27 +15,27 @@
 constexpr uint64_t job = 7;
 /// The least that the users allow: from a cancel's acknowledgement, or a late
 /// start after it, until the run is told to stop; and for stopping itself.
-constexpr milliseconds cancel_limit{3'000};
-constexpr milliseconds stop_limit{900};
-constexpr milliseconds call_pause{200};
+constexpr milliseconds max_cancel_delay{3'000};
+constexpr milliseconds max_stop_time{900};
+constexpr milliseconds heartbeat_interval{200};
 /// An answer that travels longer is dropped.
-constexpr milliseconds late_answer{900};
+constexpr milliseconds answer_expiry{900};
 /// Longer than a run is waited for that may never have begun or is silent, so
 /// that a job outlives those runs.
-constexpr milliseconds keep_jobs{5'000};
+constexpr milliseconds job_retention{5'000};
 /// Longer than what the leader waits for before it gives up on a run, or
 /// forgets a job.
-constexpr milliseconds long_enough{12'000};
+constexpr milliseconds max_leader_timeout{12'000};
 
-enum class road { direct, intake };
+enum class heartbeat_route { direct, intake };
 
 /// Two control boxes that share a log, one of which leads, and a third one that
 /// takes in heartbeats.
-class boxes {
+class control_boxes {
  public:
-  boxes() {
+  control_boxes() {
     controller_settings settings = test_world::make_settings();
-    settings.keep_jobs = keep_jobs;
+    settings.keep_jobs = job_retention;
     settings.wall_clock_ms = [this] {
       return static_cast<uint64_t>(clock.now().count());
     };
@@ -49,16 +49,16 @@
     ask(config);
   }
 
-  fleet_controller& leader() { return *controllers_[leads_]; }
-  test_log& log() { return logs_[leads_]; }
+  fleet_controller& leader() { return *controllers_[leader_index_]; }
+  test_log& log() { return logs_[leader_index_]; }
   const job_book& book() { return leader().book(); }
-  size_t leads() const { return leads_; }
+  size_t leads() const { return leader_index_; }
 
   /// What the earlier leader had not got recorded is lost.
   void elect(size_t box) {
     leader().leads(false);
     log().proposed.clear();
-    leads_ = box;
+    leader_index_ = box;
     log().leader_term = ++term_;
     leader().leads(true);
     commit();
@@ -95,14 +95,14 @@
     return last_;
   }
   /// A heartbeat that the third box passes on.
-  fleet::fleet_response pass_on(const fleet::worker_beat& beat) {
+  fleet::fleet_response forward(const fleet::worker_beat& beat) {
     last_ = fleet::fleet_response();
     intake_.take(beat,
                  [this](fleet::fleet_response it) { last_ = std::move(it); });
     while (intake_.has_news()) {
       answers_.clear_answers();
       leader().take_beats(
-          intake_.collect(std::to_string(leads_)),
+          intake_.collect(std::to_string(leader_index_)),
           [this](const auto& it) { *answers_.add_answers() = it; });
       commit();
       intake_.answered(answers_);
@@ -116,7 +116,7 @@
   metrics_registry metrics_;
   test_log logs_[2];
   std::vector<std::unique_ptr<fleet_controller>> controllers_;
-  size_t leads_ = 0;
+  size_t leader_index_ = 0;
   uint64_t term_ = 0;
   beat_intake intake_{{}, clock, metrics_};
   fleet::beat_answers answers_;
@@ -127,8 +127,9 @@
 /// in between.
 class slow_worker {
  public:
-  slow_worker(boxes& all, const char* name, road calls_by, uint64_t cpu_milli)
-      : boxes_(all), road_(calls_by) {
+  slow_worker(control_boxes& all, const char* name, heartbeat_route route,
+              uint64_t cpu_milli)
+      : boxes_(all), route_(route) {
     beat_.set_worker(name);
     beat_.set_pool("pool");
     beat_.set_cpu_milli(cpu_milli);
@@ -138,18 +139,19 @@
   fleet::worker_orders call() {
     beat_.set_sequence(beat_.sequence() + 1);
     beat_.set_clock_ms(static_cast<uint64_t>(boxes_.clock.now().count()));
-    if (road_ == road::intake) return boxes_.pass_on(beat_).orders();
+    if (route_ == heartbeat_route::intake)
+      return boxes_.forward(beat_).orders();
     fleet::fleet_request request;
     *request.mutable_beat() = beat_;
     return boxes_.ask(request).orders();
   }
-  void begin(const fleet::start_order& order) {
+  void start_run(const fleet::start_order& order) {
     fleet::running_row& row = *beat_.add_running();
     *row.mutable_task() = order.task();
     row.set_run(order.run());
   }
   /// Takes in an answer: what it is told to stop ends a while later.
-  void obey(const fleet::worker_orders& orders) {
+  void handle_orders(const fleet::worker_orders& orders) {
     while (!beat_.ended().empty() &&
            beat_.ended(0).number() <= orders.last_end()) {
       beat_.mutable_ended()->DeleteSubrange(0, 1);
@@ -158,8 +160,9 @@
     stopped_at_ = boxes_.clock.now();
   }
   /// All that it runs was told to stop: it ends once that took its time.
-  void end_stopped() {
-    if (!stopped_at_ || boxes_.clock.now() - *stopped_at_ < stop_limit) return;
+  void end_stopped_runs() {
+    if (!stopped_at_ || boxes_.clock.now() - *stopped_at_ < max_stop_time)
+      return;
     for (const fleet::running_row& row : beat_.running()) {
       fleet::run_end& end = *beat_.add_ended();
       end.set_number(++ends_);
@@ -171,18 +174,18 @@
   }
   void drain() { beat_.set_draining(true); }
   /// A call of it that the test made by hand.
-  void skip_call() { beat_.set_sequence(beat_.sequence() + 1); }
+  void skip_heartbeat() { beat_.set_sequence(beat_.sequence() + 1); }
   const fleet::worker_beat& beat() const { return beat_; }
 
  private:
-  boxes& boxes_;
-  road road_;
+  control_boxes& boxes_;
+  heartbeat_route route_;
   fleet::worker_beat beat_;
   uint64_t ends_ = 0;
   std::optional<time_point> stopped_at_;
 };
 
-inline fleet::fleet_request cancel_call() {
+inline fleet::fleet_request make_cancel() {
   fleet::fleet_request request = test_world::make_call(job);
   request.mutable_job()->set_cancel(true);
   return request;
--- a/fleet/crash-record-test.cc
+++ b/fleet/crash-record-test.cc
@@ -9,7 +9,7 @@
   job_book book;
 
   void apply(const fleet::fleet_command& command) { book.apply(command); }
-  void prepare(bool gang = false, bool lasts = false) {
+  void prepare(bool gang = false, bool is_long_running = false) {
     fleet::fleet_command config;
     *config.mutable_config() = test_world::make_config(1);
     apply(config);
@@ -18,7 +18,7 @@
     submit.mutable_submit()->set_queue("plans");
     fleet::step_spec step = test_world::make_step(2);
     step.set_gang(gang);
-    step.set_long_running(lasts);
+    step.set_long_running(is_long_running);
     *submit.mutable_submit()->add_steps() = step;
     apply(submit);
   }
--- a/fleet/crashing-test-world.h
+++ b/fleet/crashing-test-world.h
@@ -13,38 +13,38 @@
 
 namespace kestrelreel::crashing {
 
-using cancelled::boxes;
-using cancelled::call_pause;
-using cancelled::road;
+using cancelled::control_boxes;
+using cancelled::heartbeat_interval;
+using cancelled::heartbeat_route;
 
 /// The job whose first task crashes its workers, and one that lasts.
-constexpr uint64_t bad_job = 66;
-constexpr uint64_t serving_job = 5;
+constexpr uint64_t crashing_job = 66;
+constexpr uint64_t long_running_job = 5;
 /// The users allow two starts more after the third crash.
-constexpr int most_late_starts = 2;
-constexpr milliseconds long_enough{90'000};
+constexpr int max_late_starts = 2;
+constexpr milliseconds run_time_limit{90'000};
 /// After which no crash can follow any more.
-constexpr milliseconds calm{20'000};
+constexpr milliseconds quiet_period{20'000};
 
-inline bool is_bad(const task_key& it) {
-  return it.job.value() == bad_job && it.index == 0;
+inline bool is_crashing(const task_key& it) {
+  return it.job.value() == crashing_job && it.index == 0;
 }
 
 /// How workers behave, and what happens around them.
 struct crash_settings {
   size_t workers = 8;
-  road calls_by = road::direct;
+  heartbeat_route route = heartbeat_route::direct;
   /// From a crash until the worker calls again, as a new life.
-  milliseconds returns_after{4'000};
+  milliseconds restart_delay{4'000};
   bool keeps_id = false;
   /// From the start of a crashing task until its worker crashes.
-  milliseconds crashes_after{10};
+  milliseconds crash_delay{10};
   /// Another box leads so long after each crash; 0: none does.
-  milliseconds leader_changes_after{0};
+  milliseconds leader_change_delay{0};
   /// Another box leads so long after each of the first starts of crashing
   /// tasks, so that the giver of the order doesn't see the crash.
-  milliseconds giver_dies_after{0};
-  int givers_that_die = 0;
+  milliseconds issuer_failure_delay{0};
+  int failing_issuers = 0;
   /// The leader's state is saved and loaded after each crash.
   bool reloads = false;
 };
@@ -55,25 +55,26 @@
  public:
   explicit crash_world(const crash_settings& settings) : settings_(settings) {
     workers_.resize(settings.workers);
-    for (size_t i = 0; i < workers_.size(); ++i) begin_life(i);
+    for (size_t i = 0; i < workers_.size(); ++i) start_incarnation(i);
   }
 
-  boxes all;
+  control_boxes all;
   /// Tells which tasks crash their workers.
   std::function<bool(const task_key&)> crashes = [](const task_key&) {
     return false;
   };
   /// How often each task began, and crashed its worker.
   std::map<task_key, int> starts;
-  std::map<task_key, int> crashes_of;
+  std::map<task_key, int> crash_count;
   /// Workers that any task crashed, and starts after a task's third crash.
   int crashed = 0;
   int late_starts = 0;
 
-  static fleet::step_spec make_step(uint32_t count, bool lasts = false) {
+  static fleet::step_spec make_step(uint32_t count,
+                                    bool is_long_running = false) {
     fleet::step_spec step = test_world::make_step(count, 500);
     step.set_memory_mb(50);
-    step.set_long_running(lasts);
+    step.set_long_running(is_long_running);
     return step;
   }
   void submit(uint64_t job, const std::vector<fleet::step_spec>& steps) {
@@ -83,11 +84,11 @@
   /// Also of a job that is over and forgotten.
   fleet::job_phase phase_of(uint64_t job) const { return phases_.at(job); }
   /// Time passes in steps of the controller's tick.
-  void play(milliseconds n) {
+  void run_for(milliseconds n) {
     constexpr milliseconds step{100};
     for (milliseconds at{0}; at < n; at += step) {
       all.pass(step);
-      for (size_t i = 0; i < workers_.size(); ++i) live(i);
+      for (size_t i = 0; i < workers_.size(); ++i) advance_worker(i);
       change_leader_if_due();
       for (auto& [job, phase] : phases_) {
         const job_entry* it = all.book().find(job_number(job));
@@ -96,21 +97,21 @@
     }
   }
   /// Until the job has that phase; how long that took, or the limit.
-  milliseconds play_until(uint64_t job, fleet::job_phase phase,
-                          milliseconds limit) {
+  milliseconds run_until(uint64_t job, fleet::job_phase phase,
+                         milliseconds limit) {
     const time_point begun = all.clock.now();
     while (phase_of(job) != phase && all.clock.now() - begun < limit) {
-      play(call_pause);
+      run_for(heartbeat_interval);
     }
     return all.clock.now() - begun;
   }
   /// Crashes a worker for a cause of its own.
   void crash(size_t worker) {
-    slot& it = workers_[worker];
-    it.life.reset();
-    it.returns_at = all.clock.now() + settings_.returns_after;
-    if (settings_.leader_changes_after.count() > 0) {
-      leader_changes_at_ = all.clock.now() + settings_.leader_changes_after;
+    worker_slot& it = workers_[worker];
+    it.current.reset();
+    it.returns_at = all.clock.now() + settings_.restart_delay;
+    if (settings_.leader_change_delay.count() > 0) {
+      leader_changes_at_ = all.clock.now() + settings_.leader_change_delay;
     }
     if (settings_.reloads) {
       const std::string saved = all.book().save();
@@ -126,27 +127,29 @@
     workers_[worker].frozen_until = all.clock.now() + n;
   }
   void drain(size_t worker, uint64_t remaining_ms) {
-    fleet::worker_beat& beat = workers_[worker].life->beat;
+    fleet::worker_beat& beat = workers_[worker].current->beat;
     beat.set_draining(true);
     beat.set_remaining_ms(remaining_ms);
   }
   /// Runs of a job that workers list.
   int runs_of(uint64_t job) const {
     int n = 0;
-    for (const slot& it : workers_) {
-      if (!it.life) continue;
-      for (const auto& row : it.life->beat.running()) {
+    for (const worker_slot& it : workers_) {
+      if (!it.current) continue;
+      for (const auto& row : it.current->beat.running()) {
         n += row.task().job() == job;
       }
     }
     return n;
   }
-  bool up(size_t worker) const { return workers_[worker].life.has_value(); }
+  bool is_up(size_t worker) const {
+    return workers_[worker].current.has_value();
+  }
   size_t size() const { return workers_.size(); }
 
  private:
   static constexpr milliseconds work_time{600};
-  struct worker_life {
+  struct incarnation {
     fleet::worker_beat beat;
     time_point begun{};
     time_point lease_until{};
@@ -154,70 +157,73 @@
     std::optional<time_point> crashes_at;
     uint64_t ends = 0;
   };
-  struct slot {
-    std::optional<worker_life> life;
+  struct worker_slot {
+    std::optional<incarnation> current;
     time_point returns_at{};
     time_point next_call{};
     time_point cut_until{};
     time_point frozen_until{};
-    uint64_t lives = 0;
+    uint64_t incarnations = 0;
   };
 
-  void begin_life(size_t i) {
-    slot& it = workers_[i];
-    worker_life& life = it.life.emplace();
-    life.begun = all.clock.now();
-    ++it.lives;
-    fleet::worker_beat& beat = life.beat;
+  void start_incarnation(size_t i) {
+    worker_slot& it = workers_[i];
+    incarnation& current = it.current.emplace();
+    current.begun = all.clock.now();
+    ++it.incarnations;
+    fleet::worker_beat& beat = current.beat;
     const std::string name = str_cat("w", i);
-    beat.set_worker(settings_.keeps_id ? name : str_cat(name, "-", it.lives));
+    beat.set_worker(settings_.keeps_id ? name
+                                       : str_cat(name, "-", it.incarnations));
     if (settings_.keeps_id) {
       beat.set_born(1'768'000'000'000 +
-                    static_cast<uint64_t>(life.begun.count()));
+                    static_cast<uint64_t>(current.begun.count()));
     }
     beat.set_pool("pool");
     beat.set_address(str_cat(name, ":1"));
     beat.set_cpu_milli(4'000);
     beat.set_memory_mb(1'000);
-    it.next_call = life.begun + milliseconds(static_cast<int64_t>(i % 2) * 100);
+    it.next_call =
+        current.begun + milliseconds(static_cast<int64_t>(i % 2) * 100);
   }
 
-  void live(size_t i) {
-    slot& it = workers_[i];
+  void advance_worker(size_t i) {
+    worker_slot& it = workers_[i];
     const time_point now = all.clock.now();
     if (now < it.frozen_until) return;
-    if (!it.life) {
+    if (!it.current) {
       if (now < it.returns_at) return;
-      begin_life(i);
+      start_incarnation(i);
     }
-    if (it.life->crashes_at && now >= *it.life->crashes_at) {
+    if (it.current->crashes_at && now >= *it.current->crashes_at) {
       ++crashed;
       return crash(i);
     }
-    end_what_is_due(*it.life);
+    end_due_runs(*it.current);
     if (now < it.next_call) return;
-    it.next_call = now + call_pause;
-    if (now >= it.cut_until) call(*it.life);
+    it.next_call = now + heartbeat_interval;
+    if (now >= it.cut_until) send_heartbeat(*it.current);
   }
 
-  void end_what_is_due(worker_life& it) {
+  void end_due_runs(incarnation& it) {
     const time_point now = all.clock.now();
     std::vector<std::pair<run_key, fleet::run_outcome>> due;
     for (const auto& [run, began] : it.began) {
       const fleet::step_spec* step = all.book().find_step(run.task);
-      const bool lasts = step != nullptr && step->long_running();
+      const bool is_long_running = step != nullptr && step->long_running();
       if (now >= it.lease_until) {
         due.emplace_back(run, fleet::run_lapsed);
-      } else if (!lasts && now - began >= work_time && !it.crashes_at) {
+      } else if (!is_long_running && now - began >= work_time &&
+                 !it.crashes_at) {
         due.emplace_back(
-            run, breaks(run.task) ? fleet::run_broken : fleet::run_done);
+            run, gang_breaks(run.task) ? fleet::run_broken : fleet::run_done);
       }
     }
     for (const auto& [run, outcome] : due) end(it, run, outcome);
   }
 
   /// True for a member of a gang of which another one crashes its worker.
-  bool breaks(task_key task) {
+  bool gang_breaks(task_key task) {
     const fleet::step_spec* step = all.book().find_step(task);
     if (step == nullptr || !step->gang()) return false;
     for (task.index = 0; task.index < step->count(); ++task.index) {
@@ -226,7 +232,7 @@
     return false;
   }
 
-  static void end(worker_life& it, const run_key& run,
+  static void end(incarnation& it, const run_key& run,
                   fleet::run_outcome outcome) {
     it.began.erase(run);
     auto& rows = *it.beat.mutable_running();
@@ -243,13 +249,14 @@
   }
 
   fleet::worker_orders send(const fleet::worker_beat& beat) {
-    if (settings_.calls_by == road::intake) return all.pass_on(beat).orders();
+    if (settings_.route == heartbeat_route::intake)
+      return all.forward(beat).orders();
     fleet::fleet_request request;
     *request.mutable_beat() = beat;
     return all.ask(request).orders();
   }
 
-  void call(worker_life& it) {
+  void send_heartbeat(incarnation& it) {
     it.beat.set_sequence(it.beat.sequence() + 1);
     const milliseconds age = all.clock.now() - it.begun;
     it.beat.set_clock_ms(static_cast<uint64_t>(1'000 + age.count()));
@@ -265,10 +272,11 @@
       const run_key run{to_key(stop.task()), run_number(stop.run())};
       if (it.began.contains(run)) end(it, run, fleet::run_stopped);
     }
-    for (const fleet::start_order& start : orders.starts()) begin(it, start);
+    for (const fleet::start_order& start : orders.starts())
+      start_run(it, start);
   }
 
-  void begin(worker_life& it, const fleet::start_order& start) {
+  void start_run(incarnation& it, const fleet::start_order& start) {
     const run_key run{to_key(start.task()), run_number(start.run())};
     if (it.began.contains(run)) return;
     it.began[run] = all.clock.now();
@@ -277,15 +285,15 @@
     row.set_run(start.run());
     ++starts[run.task];
     if (!crashes(run.task)) return;
-    if (givers_died_ < settings_.givers_that_die) {
-      ++givers_died_;
-      leader_changes_at_ = all.clock.now() + settings_.giver_dies_after;
+    if (failed_issuers_ < settings_.failing_issuers) {
+      ++failed_issuers_;
+      leader_changes_at_ = all.clock.now() + settings_.issuer_failure_delay;
       // Nothing more is recorded by one that is gone at once.
       change_leader_if_due();
     }
-    constexpr int most_crashes = 3;
-    if (crashes_of[run.task]++ >= most_crashes) ++late_starts;
-    it.crashes_at = all.clock.now() + settings_.crashes_after;
+    constexpr int max_crashes = 3;
+    if (crash_count[run.task]++ >= max_crashes) ++late_starts;
+    it.crashes_at = all.clock.now() + settings_.crash_delay;
   }
 
   void change_leader_if_due() {
@@ -295,10 +303,10 @@
   }
 
   crash_settings settings_;
-  std::vector<slot> workers_;
+  std::vector<worker_slot> workers_;
   std::map<uint64_t, fleet::job_phase> phases_;
   std::optional<time_point> leader_changes_at_;
-  int givers_died_ = 0;
+  int failed_issuers_ = 0;
 };
 
 }  // namespace kestrelreel::crashing
--- a/fleet/fleet-cost-test-parts.h
+++ b/fleet/fleet-cost-test-parts.h
@@ -17,27 +17,27 @@
   double change_us = 0;
 };
 
-constexpr milliseconds cost_second{1'000};
+constexpr milliseconds measured_second{1'000};
 /// Workers call for the first time within this.
 constexpr milliseconds cost_start{3'000};
 
 /// A fleet of so many workers; jobs grow with it.
-inline setting make_fleet(int workers) {
+inline scenario make_fleet(int workers) {
   constexpr double jobs_per_s_a_worker = 34.0 / 6'000;
   constexpr uint32_t wide = 50;
   constexpr int workers_a_box = 600;
-  setting it{"fleet", workers, {}};
+  scenario it{"fleet", workers, {}};
   it.jobs_per_s = jobs_per_s_a_worker * workers;
-  it.width = wide;
+  it.tasks_per_job = wide;
   // All that it does takes no time on the virtual clock.
   it.processor_share = 1e9;
-  it.intakes = std::max(4, workers / workers_a_box);
-  it.first_calls = cost_start;
+  it.intake_boxes = std::max(4, workers / workers_a_box);
+  it.first_call_spread = cost_start;
   return it;
 }
 
 inline leader_costs measure_costs(int workers) {
-  setting it = make_fleet(workers);
+  scenario it = make_fleet(workers);
   const double jobs_per_s = std::exchange(it.jobs_per_s, 0);
   busy_world world(it);
   const auto spent = [&](milliseconds length) {
@@ -48,16 +48,16 @@
   };
   leader_costs out;
   out.start_us = spent(cost_start) * static_cast<double>(cost_start.count()) /
-                 static_cast<double>(cost_second.count());
+                 static_cast<double>(measured_second.count());
   spent(cost_start);
-  out.quiet_us = spent(2 * cost_second);
+  out.quiet_us = spent(2 * measured_second);
   world.set_jobs_per_s(jobs_per_s);
-  spent(cost_second);
-  out.loaded_us = spent(2 * cost_second);
+  spent(measured_second);
+  out.loaded_us = spent(2 * measured_second);
   world.set_jobs_per_s(0);
   spent(cost_start);
   world.change_leader();
-  out.change_us = spent(cost_second);
+  out.change_us = spent(measured_second);
   return out;
 }
 
--- a/fleet/fleet-cost-test-rows.h
+++ b/fleet/fleet-cost-test-rows.h
@@ -16,7 +16,7 @@
 constexpr int times_as_large = large_fleet / small_fleet;
 
 /// The least of some tries: what disturbs a measurement makes it longer.
-inline leader_costs least_costs(int workers) {
+inline leader_costs min_costs(int workers) {
   constexpr int tries = 3;
   leader_costs out = measure_costs(workers);
   for (int i = 1; i < tries; ++i) {
@@ -31,18 +31,18 @@
 struct cost_row {
   const char* name;
   double leader_costs::*cost;
-  double most_times;
+  double max_ratio;
 };
 
 inline void check_costs(std::span<const cost_row> rows) {
-  const leader_costs few = least_costs(small_fleet);
-  const leader_costs many = least_costs(large_fleet);
+  const leader_costs few = min_costs(small_fleet);
+  const leader_costs many = min_costs(large_fleet);
   for (const cost_row& it : rows) {
     const double times = many.*it.cost / few.*it.cost;
     const std::string text = std::string(it.name) + ": " +
                              std::to_string(times) + " times, at most " +
-                             std::to_string(it.most_times);
-    CHECK_TRUE_TEXT(times <= it.most_times, text.c_str());
+                             std::to_string(it.max_ratio);
+    CHECK_TRUE_TEXT(times <= it.max_ratio, text.c_str());
   }
 }
 
--- a/fleet/innocent-crash-test.cc
+++ b/fleet/innocent-crash-test.cc
@@ -7,31 +7,31 @@
 using namespace kestrelreel;
 using crashing::crash_settings;
 using crashing::crash_world;
-using crashing::road;
+using crashing::heartbeat_route;
 
 namespace {
 
 constexpr uint64_t first_job = 100;
-constexpr uint64_t serving_job = 5;
-constexpr milliseconds calm{30'000};
+constexpr uint64_t long_running_job = 5;
+constexpr milliseconds quiet_period{30'000};
 constexpr milliseconds job_pause{300};
 
 /// What happens to the workers, once every few seconds.
 struct row {
   const char* name;
   crash_settings settings;
-  void (*strike)(crash_world&, uint64_t round);
+  void (*disrupt)(crash_world&, uint64_t round);
 };
 
 void crash_every_third(crash_world& world, uint64_t round) {
   for (size_t i = round % 3; i < world.size(); i += 3) {
-    if (world.up(i)) world.crash(i);
+    if (world.is_up(i)) world.crash(i);
   }
 }
 
 void crash_one(crash_world& world, uint64_t round) {
   const size_t i = round % world.size();
-  if (world.up(i)) world.crash(i);
+  if (world.is_up(i)) world.crash(i);
 }
 
 void cut_some(crash_world& world, uint64_t round) {
@@ -48,43 +48,43 @@
 
 void drain_one_that_ends(crash_world& world, uint64_t round) {
   const size_t i = round % world.size();
-  if (!world.up(i)) return;
+  if (!world.is_up(i)) return;
   world.drain(i, 1'000);
-  world.play(milliseconds(1'000));
+  world.run_for(milliseconds(1'000));
   world.crash(i);
 }
 
 /// What it just began is listed once.
 void drain_one_that_ends_at_once(crash_world& world, uint64_t round) {
   const size_t i = round % world.size();
-  if (!world.up(i)) return;
+  if (!world.is_up(i)) return;
   world.drain(i, 60'000);
-  world.play(milliseconds(100));
+  world.run_for(milliseconds(100));
   world.crash(i);
 }
 
 std::vector<row> rows() {
   crash_settings plain;
   crash_settings relayed;
-  relayed.calls_by = road::intake;
-  crash_settings reborn;
-  reborn.keeps_id = true;
+  relayed.route = heartbeat_route::intake;
+  crash_settings same_id;
+  same_id.keeps_id = true;
   crash_settings late;
-  late.returns_after = milliseconds(9'000);
-  crash_settings led_anew;
-  led_anew.leader_changes_after = milliseconds(700);
-  return {
-      {"a third crashes", plain, crash_every_third},
-      {"a third crashes, relayed", relayed, crash_every_third},
-      {"a third crashes, under their ids", reborn, crash_every_third},
-      {"a third crashes and is back late", late, crash_every_third},
-      {"a third crashes, then the leader changes", led_anew, crash_every_third},
-      {"one crashes", plain, crash_one},
-      {"cut off", plain, cut_some},
-      {"cut off, relayed", relayed, cut_some},
-      {"frozen", plain, freeze_some},
-      {"drained", plain, drain_one_that_ends},
-      {"drained, ends at once", plain, drain_one_that_ends_at_once}};
+  late.restart_delay = milliseconds(9'000);
+  crash_settings leader_change;
+  leader_change.leader_change_delay = milliseconds(700);
+  return {{"a third crashes", plain, crash_every_third},
+          {"a third crashes, relayed", relayed, crash_every_third},
+          {"a third crashes, under their ids", same_id, crash_every_third},
+          {"a third crashes and is back late", late, crash_every_third},
+          {"a third crashes, then the leader changes", leader_change,
+           crash_every_third},
+          {"one crashes", plain, crash_one},
+          {"cut off", plain, cut_some},
+          {"cut off, relayed", relayed, cut_some},
+          {"frozen", plain, freeze_some},
+          {"drained", plain, drain_one_that_ends},
+          {"drained, ends at once", plain, drain_one_that_ends_at_once}};
 }
 
 }  // namespace
@@ -96,21 +96,22 @@
   constexpr uint64_t jobs_a_round = 14;
   for (const row& it : rows()) {
     crash_world world(it.settings);
-    world.submit(serving_job, {crash_world::make_step(6, true)});
+    world.submit(long_running_job, {crash_world::make_step(6, true)});
     uint64_t job = first_job;
     for (uint64_t n = 0; n < rounds; ++n) {
       for (uint64_t i = 0; i < jobs_a_round; ++i) {
         world.submit(job++, {crash_world::make_step(2)});
-        world.play(job_pause);
+        world.run_for(job_pause);
       }
-      it.strike(world, n);
+      it.disrupt(world, n);
     }
-    world.play(calm);
+    world.run_for(quiet_period);
     for (uint64_t n = first_job; n < job; ++n) {
       LONGS_EQUAL_TEXT(fleet::job_succeeded, world.phase_of(n), it.name);
     }
-    LONGS_EQUAL_TEXT(fleet::job_running, world.phase_of(serving_job), it.name);
-    LONGS_EQUAL_TEXT(6, world.runs_of(serving_job), it.name);
+    LONGS_EQUAL_TEXT(fleet::job_running, world.phase_of(long_running_job),
+                     it.name);
+    LONGS_EQUAL_TEXT(6, world.runs_of(long_running_job), it.name);
     CHECK_TRUE_TEXT(world.all.book().suspects().empty(), it.name);
   }
 }
@@ -119,16 +120,16 @@
 TEST(innocent_crash, silence_is_no_crash) {
   for (const row& it : rows()) {
     const bool crashes =
-        it.strike == crash_every_third || it.strike == crash_one;
+        it.disrupt == crash_every_third || it.disrupt == crash_one;
     if (crashes) continue;
     crash_world world(it.settings);
-    world.submit(serving_job, {crash_world::make_step(6, true)});
+    world.submit(long_running_job, {crash_world::make_step(6, true)});
     for (uint64_t n = 0; n < 8; ++n) {
       world.submit(first_job + n, {crash_world::make_step(8)});
-      world.play(milliseconds(100));
-      it.strike(world, n);
+      world.run_for(milliseconds(100));
+      it.disrupt(world, n);
       for (int i = 0; i < 60; ++i) {
-        world.play(milliseconds(100));
+        world.run_for(milliseconds(100));
         CHECK_TRUE_TEXT(world.all.book().suspects().empty(), it.name);
       }
     }
@@ -199,14 +200,14 @@
   crash_settings settings;
   settings.workers = 1;
   crash_world world(settings);
-  world.play(milliseconds(1'000));
+  world.run_for(milliseconds(1'000));
   world.submit(first_job, {crash_world::make_step(1)});
-  while (world.runs_of(first_job) == 0) world.play(milliseconds(100));
+  while (world.runs_of(first_job) == 0) world.run_for(milliseconds(100));
   world.drain(0, 60'000);
-  world.play(milliseconds(200));
+  world.run_for(milliseconds(200));
   world.crash(0);
   for (int i = 0; i < 80; ++i) {
-    world.play(milliseconds(100));
+    world.run_for(milliseconds(100));
     CHECK_TRUE(world.all.book().suspects().empty());
   }
   LONGS_EQUAL(fleet::job_succeeded, world.phase_of(first_job));
--- a/fleet/late-intake-test.cc
+++ b/fleet/late-intake-test.cc
@@ -5,12 +5,12 @@
 #include "fleet/busy-leader-test-rows.h"
 
 using namespace kestrelreel;
-using busy::setting;
+using busy::scenario;
 
 namespace {
 
 /// A worker calls three times in its lease, whatever the load.
-constexpr milliseconds most_unread = longest_hold / 3;
+constexpr milliseconds max_read_gap = longest_hold / 3;
 
 struct row {
   const char* name;
@@ -18,20 +18,20 @@
   milliseconds calls{0};
   // Boxes, of four, whose way to the leader is so long.
   int boxes = 1;
-  milliseconds most = most_unread;
+  milliseconds most = max_read_gap;
 };
 
 busy::outcome play(const row& it) {
-  setting world_setting{it.name, 880, {}};
+  scenario world_setting{it.name, 880, {}};
   world_setting.jobs_per_s = 40;
-  world_setting.sends_home = true;
+  world_setting.returns_to_first_box = true;
   constexpr milliseconds start{3'000};
   constexpr milliseconds length{10'000};
   busy::busy_world world(world_setting);
   world.pass(start);
-  world.delay(it.boxes, it.answers, it.calls);
+  world.delay_boxes(it.boxes, it.answers, it.calls);
   world.pass(length);
-  world.delay(it.boxes, milliseconds(0), milliseconds(0));
+  world.delay_boxes(it.boxes, milliseconds(0), milliseconds(0));
   world.pass(start);
   return world.out();
 }
@@ -55,10 +55,10 @@
   };
   for (const row& it : rows) {
     const busy::outcome out = play(it);
-    STRCMP_EQUAL_TEXT("", out.wrong.c_str(), it.name);
+    STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     CHECK_TRUE_TEXT(out.done > 0, it.name);
-    busy::check_within(it.most, out.longest_unread, it.name, "unread");
-    LONGS_EQUAL_TEXT(0, out.started_again, it.name);
+    busy::check_within(it.most, out.longest_read_gap, it.name, "unread");
+    LONGS_EQUAL_TEXT(0, out.restarts_after_success, it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, it.name);
   }
 }
--- a/fleet/other-writer-test.cc
+++ b/fleet/other-writer-test.cc
@@ -13,8 +13,8 @@
 #include "fleet/cancelled-test-world.h"
 
 using namespace kestrelreel;
-using cancelled::boxes;
-using cancelled::road;
+using cancelled::control_boxes;
+using cancelled::heartbeat_route;
 
 namespace {
 
@@ -25,7 +25,8 @@
 /// A worker that runs what it is told, and does not end it.
 class true_worker {
  public:
-  true_worker(boxes& all, road calls_by) : boxes_(all), road_(calls_by) {
+  true_worker(control_boxes& all, heartbeat_route route)
+      : boxes_(all), route_(route) {
     beat_.set_worker("i-1");
     beat_.set_born(born);
     beat_.set_pool("pool");
@@ -46,7 +47,7 @@
     return orders;
   }
   fleet::fleet_response send(const fleet::worker_beat& beat) {
-    if (road_ == road::intake) return boxes_.pass_on(beat);
+    if (route_ == heartbeat_route::intake) return boxes_.forward(beat);
     fleet::fleet_request request;
     *request.mutable_beat() = beat;
     return boxes_.ask(request);
@@ -54,8 +55,8 @@
   const fleet::worker_beat& beat() const { return beat_; }
 
  private:
-  boxes& boxes_;
-  road road_;
+  control_boxes& boxes_;
+  heartbeat_route route_;
   fleet::worker_beat beat_;
 };
 
@@ -111,13 +112,13 @@
 }  // namespace
 
 TEST_GROUP(other_writer){
-    static void configure(boxes & all){fleet::fleet_request request;
+    static void configure(control_boxes & all){fleet::fleet_request request;
 fleet::fleet_config& config = *request.mutable_put_config();
 config = test_world::make_config(2);
 config.add_pools()->set_name("other");
 all.ask(request);
 }
-static void run_two(boxes& all, true_worker& it) {
+static void run_two(control_boxes& all, true_worker& it) {
   it.call();
   fleet::step_spec lasting = test_world::make_step(1);
   lasting.set_long_running(true);
@@ -141,9 +142,10 @@
 ;
 
 TEST(other_writer, copies_under_a_workers_id_change_nothing) {
-  for (const road by : {road::direct, road::intake}) {
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
     for (const row& it : rows) {
-      boxes all;
+      control_boxes all;
       configure(all);
       true_worker worker(all, by);
       run_two(all, worker);
@@ -199,8 +201,9 @@
 }
 
 TEST(other_writer, id_that_never_was_gets_nothing_where_its_pool_is_unknown) {
-  for (const road by : {road::direct, road::intake}) {
-    boxes all;
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
+    control_boxes all;
     configure(all);
     true_worker worker(all, by);
     run_two(all, worker);
@@ -221,8 +224,9 @@
 // A copy that passes for the next call: what the worker itself says later, by
 // its clock, goes before it though its sequence is lower.
 TEST(other_writer, sequence_that_ran_ahead_is_set_right) {
-  for (const road by : {road::direct, road::intake}) {
-    boxes all;
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
+    control_boxes all;
     configure(all);
     true_worker worker(all, by);
     run_two(all, worker);
--- a/fleet/over-life-test.cc
+++ b/fleet/over-life-test.cc
@@ -115,8 +115,9 @@
 }
 
 TEST(over_life, next_leader_knows_of_it) {
-  cancelled::boxes boxes;
-  cancelled::slow_worker worker(boxes, "a", cancelled::road::direct, 4'000);
+  cancelled::control_boxes boxes;
+  cancelled::slow_worker worker(boxes, "a", cancelled::heartbeat_route::direct,
+                                4'000);
   worker.call();
   fleet::fleet_request request;
   request.set_worker_leaves("a");
--- a/fleet/placed-in-vain-test.cc
+++ b/fleet/placed-in-vain-test.cc
@@ -13,38 +13,38 @@
   const char* name;
   int workers;
   // Whether a step of the leader costs `cost`; else it takes no time.
-  bool costs = false;
-  busy::costs cost = {};
+  bool step_costs = false;
+  busy::step_costs cost = {};
 };
 
-constexpr int lasting_jobs = 20;
-constexpr uint32_t lasting_width = 10;
+constexpr int long_running_jobs = 20;
+constexpr uint32_t tasks_per_long_running_job = 10;
 constexpr int gone = 3;
 constexpr int rounds = 10;
 /// An order gets to its worker this long after its task was first placed.
-constexpr milliseconds most_placed{3'000};
+constexpr milliseconds max_placed_wait{3'000};
 /// Once where it runs; once more where its worker was lost, too.
-constexpr int most_placings = 2;
+constexpr int max_placements = 2;
 
 busy::outcome play(const row& it) {
-  busy::setting set = busy::make_fleet(it.workers);
+  busy::scenario set = busy::make_fleet(it.workers);
   set.jobs_per_s = 0;
-  if (it.costs) {
+  if (it.step_costs) {
     set.processor_share = 0;
     set.cost = it.cost;
   }
   busy::busy_world world(set);
   world.pass(milliseconds(6'000));
   // None of them is idle: calls of idle ones are held.
-  world.keep_busy();
+  world.submit_endless_tasks();
   world.pass(milliseconds(4'000));
-  world.serve(lasting_jobs, lasting_width);
+  world.submit_long_running(long_running_jobs, tasks_per_long_running_job);
   world.pass(milliseconds(4'000));
   for (int i = 0; i < rounds; ++i) {
-    world.interrupt_serving(gone, busy::interruption::lose);
-    world.interrupt_serving(gone, busy::interruption::fail);
+    world.interrupt_long_running(gone, busy::interruption::lose);
+    world.interrupt_long_running(gone, busy::interruption::fail);
     world.pass(milliseconds(300));
-    world.interrupt_serving(gone, busy::interruption::leave);
+    world.interrupt_long_running(gone, busy::interruption::leave);
     world.pass(milliseconds(300));
   }
   world.pass(milliseconds(9'500));
@@ -53,18 +53,18 @@
 
 std::string to_text(const row& it, const busy::outcome& out) {
   return std::string(it.name) + ", " + std::to_string(it.workers) +
-         ": away for " + std::to_string(out.longest_away.count()) +
-         " ms, placed for " + std::to_string(out.longest_placed.count()) +
-         ", placings " + std::to_string(out.most_placings) + ", in vain " +
-         std::to_string(out.placed_in_vain) + ", lapsed " +
+         ": away for " + std::to_string(out.longest_downtime.count()) +
+         " ms, placed for " + std::to_string(out.longest_placed_wait.count()) +
+         ", placings " + std::to_string(out.max_placements) + ", in vain " +
+         std::to_string(out.wasted_placements) + ", lapsed " +
          std::to_string(out.lapsed);
 }
 
 }  // namespace
 
-TEST_GROUP(placed_in_vain){};
+TEST_GROUP(wasted_placements){};
 
-TEST(placed_in_vain, interrupted_task_waits_for_one_order) {
+TEST(wasted_placements, interrupted_task_waits_for_one_order) {
   const row rows[] = {
       {"quiet", 600},
       {"quiet", 6'000},
@@ -77,11 +77,11 @@
   for (const row& it : rows) {
     const busy::outcome out = play(it);
     const std::string text = to_text(it, out);
-    STRCMP_EQUAL_TEXT("", out.wrong.c_str(), it.name);
+    STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, text.c_str());
-    const bool holds = out.longest_placed <= most_placed &&
-                       out.longest_away <= busy::most_away &&
-                       out.most_placings <= most_placings;
+    const bool holds = out.longest_placed_wait <= max_placed_wait &&
+                       out.longest_downtime <= busy::max_downtime &&
+                       out.max_placements <= max_placements;
     if (!holds) wrong += text + "\n";
   }
   CHECK_TRUE_TEXT(wrong.empty(), wrong.c_str());
--- a/fleet/refused-job-test.cc
+++ b/fleet/refused-job-test.cc
@@ -10,15 +10,15 @@
 #include "fleet/refused-test-world.h"
 
 using namespace kestrelreel;
+using refused::answer_counts;
 using refused::faults;
-using refused::tally;
 
 namespace {
 
-constexpr milliseconds trouble_time{25'000};
+constexpr milliseconds fault_time{25'000};
 constexpr uint64_t seeds = 12;
 
-void add(tally& all, const tally& it) {
+void add(answer_counts& all, const answer_counts& it) {
   all.ok += it.ok;
   all.unavailable += it.unavailable;
   all.refused += it.refused;
@@ -28,18 +28,18 @@
   all.unanswered += it.unanswered;
   all.taken += it.taken;
   all.lost += it.lost;
-  all.not_taken += it.not_taken;
+  all.not_accepted += it.not_accepted;
   all.started += it.started;
   all.terms += it.terms;
 }
 
-void print(const char* name, const tally& it) {
+void print(const char* name, const answer_counts& it) {
   std::printf(
       "%s: ok %d unavailable %d refused %d no-queue %d invalid %d unknown %d "
       "unanswered %d; jobs: not taken %d, unclear and taken %d, lost %d; "
       "started %d terms %d\n",
       name, it.ok, it.unavailable, it.refused, it.no_queue, it.invalid,
-      it.unknown, it.unanswered, it.not_taken, it.taken, it.lost, it.started,
+      it.unknown, it.unanswered, it.not_accepted, it.taken, it.lost, it.started,
       static_cast<int>(it.terms));
 }
 
@@ -60,12 +60,12 @@
       {"hand-overs", 0, 0, 0, 0, 0, 0, 40},
       {"all of it", 100, 400, 400, 600, 400, 200, 150},
   };
-  tally all;
+  answer_counts all;
   for (const faults& it : rows) {
-    tally of_row;
+    answer_counts of_row;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       refused::promise_world world(seed, it);
-      const std::string wrong = world.run(trouble_time);
+      const std::string wrong = world.run(fault_time);
       add(of_row, world.count());
       const std::string where = str_cat(it.name, ", seed ", seed, ": ", wrong);
       CHECK_TEXT(wrong.empty(), where.c_str());
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -70,7 +70,7 @@
   }
 
   bool up() const { return replica_ != nullptr; }
-  bool runs() const { return up() && clock_.now() >= held_until; }
+  bool is_running() const { return up() && clock_.now() >= paused_until; }
   const std::string& name() const { return name_; }
   const fleet_controller& controller() const { return *controller_; }
   const raft& state() const { return replica_->state(); }
@@ -87,13 +87,13 @@
   }
 
   /// A planned stop, or a slow disk's.
-  void hand_over() {
+  void transfer_leadership() {
     replica_->transfer_leadership();
     check_role();
   }
 
   /// What its timers and its disk do by now.
-  void live() {
+  void run_timers_and_disk() {
     run_disk();
     if (clock_.now() - ticked_at_ >= tick_interval) tick();
     if (clock_.now() - settled_at_ < settle_interval) return;
@@ -134,16 +134,16 @@
     FAIL(std::string(status.message()).c_str());
   }
 
-  time_point held_until{};
+  time_point paused_until{};
   time_point full_until{};
-  time_point deaf_until{};
-  time_point mute_until{};
+  time_point receive_blocked_until{};
+  time_point send_blocked_until{};
   /// One write in so many takes long.
   uint64_t slow_one_in = 1'000'000;
 
  private:
   struct pending_write {
-    time_point lasts;
+    time_point completes_at;
     std::function<absl::Status()> work;
     std::function<void(absl::Status)> done;
   };
@@ -159,7 +159,7 @@
   }
 
   void run_disk() {
-    while (!writes_.empty() && writes_.front().lasts <= clock_.now()) {
+    while (!writes_.empty() && writes_.front().completes_at <= clock_.now()) {
       const pending_write it = std::move(writes_.front());
       writes_.pop_front();
       const bool full = clock_.now() < full_until;
--- a/fleet/refused-test-world.h
+++ b/fleet/refused-test-world.h
@@ -17,9 +17,9 @@
 namespace kestrelreel::refused {
 
 constexpr milliseconds step_time{5};
-constexpr milliseconds calm_time{12'000};
+constexpr milliseconds recovery_time{12'000};
 /// The end of the calm, in which nothing is asked any more.
-constexpr milliseconds quiet_time{3'000};
+constexpr milliseconds no_config_time{3'000};
 constexpr int boxes = 5;
 constexpr int workers = 3;
 
@@ -32,11 +32,11 @@
   unsigned crash = 0;
   unsigned full = 0;
   unsigned slow_disk = 0;
-  unsigned hand_over = 0;
+  unsigned transfer_leadership = 0;
 };
 
 /// What the callers were told, and what the logs did with it.
-struct tally {
+struct answer_counts {
   int ok = 0;
   int unavailable = 0;
   int refused = 0;
@@ -48,7 +48,7 @@
   int taken = 0;
   int lost = 0;
   // Jobs that were told so at every try.
-  int not_taken = 0;
+  int not_accepted = 0;
   int started = 0;
   uint64_t terms = 0;
 };
@@ -73,24 +73,25 @@
   /// Empty, or the first promise that was broken.
   std::string run(milliseconds length) {
     const time_point end = clock_.now() + length;
-    while (clock_.now() < end) one_step(true);
+    while (clock_.now() < end) step(true);
     for (const auto& it : boxes_) {
-      it->held_until = it->full_until = it->deaf_until = it->mute_until = {};
+      it->paused_until = it->full_until = it->receive_blocked_until =
+          it->send_blocked_until = {};
       it->slow_one_in = 1'000'000;
     }
     faults_ = {};
-    const time_point calm = clock_.now() + calm_time;
+    const time_point calm = clock_.now() + recovery_time;
     while (clock_.now() < calm) {
-      asks_ = clock_.now() < calm - quiet_time;
-      one_step(false);
+      configures_ = clock_.now() < calm - no_config_time;
+      step(false);
     }
-    return judge();
+    return check_promises();
   }
 
-  const tally& count() const { return tally_; }
+  const answer_counts& count() const { return counts_; }
 
  private:
-  struct letter {
+  struct raft_delivery {
     time_point arrives;
     int to;
     proto::raft_message m;
@@ -125,60 +126,63 @@
 
   void post(const proto::raft_message& m) {
     control_box& from = *boxes_[index_of(m.from())];
-    if (clock_.now() < from.mute_until || one_in(faults_.lose)) return;
+    if (clock_.now() < from.send_blocked_until || one_in(faults_.lose)) return;
     const milliseconds late = one_in(60) ? up_to(300) : up_to(8);
-    letters_.push_back({clock_.now() + late, index_of(m.to()), m});
+    raft_deliveries_.push_back({clock_.now() + late, index_of(m.to()), m});
   }
 
   void deliver() {
-    std::vector<letter> due;
-    std::erase_if(letters_, [&](letter& it) {
+    std::vector<raft_delivery> due;
+    std::erase_if(raft_deliveries_, [&](raft_delivery& it) {
       const control_box& to = *boxes_[it.to];
-      if (to.up() && !to.runs()) return false;
+      if (to.up() && !to.is_running()) return false;
       if (it.arrives > clock_.now()) return false;
-      if (to.up() && clock_.now() >= to.deaf_until) due.push_back(it);
+      if (to.up() && clock_.now() >= to.receive_blocked_until)
+        due.push_back(it);
       return true;
     });
-    for (const letter& it : due) {
+    for (const raft_delivery& it : due) {
       if (boxes_[it.to]->up()) boxes_[it.to]->receive(it.m);
     }
     std::vector<relayed_call> calls;
     std::erase_if(calls_, [&](relayed_call& it) {
       const control_box& to = *boxes_[it.to];
-      if (it.arrives > clock_.now() || (to.up() && !to.runs())) return false;
+      if (it.arrives > clock_.now() || (to.up() && !to.is_running()))
+        return false;
       calls.push_back(std::move(it));
       return true;
     });
     for (const relayed_call& it : calls) arrived(it);
   }
 
-  void disturb() {
+  void inject_faults() {
     control_box& it = any_box();
     const time_point now = clock_.now();
-    if (one_in(faults_.held)) it.held_until = now + up_to(2'500);
-    if (one_in(faults_.cut)) it.deaf_until = now + up_to(3'000);
-    if (one_in(faults_.cut)) it.mute_until = now + up_to(3'000);
+    if (one_in(faults_.held)) it.paused_until = now + up_to(2'500);
+    if (one_in(faults_.cut)) it.receive_blocked_until = now + up_to(3'000);
+    if (one_in(faults_.cut)) it.send_blocked_until = now + up_to(3'000);
     if (one_in(faults_.full)) it.full_until = now + up_to(2'000);
-    if (one_in(faults_.hand_over) && it.runs()) it.hand_over();
+    if (one_in(faults_.transfer_leadership) && it.is_running())
+      it.transfer_leadership();
     if (one_in(faults_.crash) && it.up()) {
       it.crash();
-      it.held_until = now + up_to(1'500);
+      it.paused_until = now + up_to(1'500);
     }
   }
 
-  void one_step(bool callers) {
+  void step(bool callers) {
     clock_.advance(step_time);
-    if (callers) disturb();
+    if (callers) inject_faults();
     for (const auto& it : boxes_) {
-      if (!it->up() && clock_.now() >= it->held_until) it->start();
+      if (!it->up() && clock_.now() >= it->paused_until) it->start();
     }
     deliver();
     for (const auto& it : boxes_) {
-      if (it->runs()) it->live();
+      if (it->is_running()) it->run_timers_and_disk();
     }
     if (callers && one_in(3)) submit();
     if (callers && one_in(4)) cancel();
-    if (asks_ && (one_in(150) || configs_.empty())) configure(callers);
+    if (configures_ && (one_in(150) || configs_.empty())) configure(callers);
     for (worker& it : workers_) call(it);
   }
 
@@ -275,7 +279,7 @@
     it.beat.set_clock_ms(static_cast<uint64_t>(now.count()));
     it.out = it.beat.sequence();
     for (const auto& box : boxes_) {
-      if (!box->runs() || !box->leads()) continue;
+      if (!box->is_running() || !box->leads()) continue;
       fleet::fleet_request request;
       *request.mutable_beat() = it.beat;
       box->request(request, [this, &it, n = it.out](const auto& response) {
@@ -298,35 +302,35 @@
       row.set_run(start.run());
       it.began[to_text(to_key(start.task()))] = clock_.now();
       started_.insert(to_key(start.task()).job);
-      ++tally_.started;
+      ++counts_.started;
     }
   }
 
   void count(const std::optional<fleet::fleet_status>& it) {
     if (!it)
-      ++tally_.unanswered;
+      ++counts_.unanswered;
     else if (*it == fleet::fleet_ok)
-      ++tally_.ok;
+      ++counts_.ok;
     else if (*it == fleet::fleet_unavailable)
-      ++tally_.unavailable;
+      ++counts_.unavailable;
     else if (*it == fleet::fleet_refused)
-      ++tally_.refused;
+      ++counts_.refused;
     else if (*it == fleet::fleet_no_queue)
-      ++tally_.no_queue;
+      ++counts_.no_queue;
     else if (*it == fleet::fleet_invalid)
-      ++tally_.invalid;
+      ++counts_.invalid;
     else
-      ++tally_.unknown;
+      ++counts_.unknown;
   }
 
-  static bool says_not_taken(const std::optional<fleet::fleet_status>& it) {
+  static bool says_not_accepted(const std::optional<fleet::fleet_status>& it) {
     return it == fleet::fleet_unavailable || it == fleet::fleet_refused ||
            it == fleet::fleet_no_queue || it == fleet::fleet_invalid;
   }
 
   /// The configuration in force was not told to be refused, and none above it
   /// was told to be taken.
-  std::string judge_configs() const {
+  std::string check_configs() const {
     const uint64_t held = boxes_[0]->controller().book().config().version();
     for (const auto& box : boxes_) {
       if (box->controller().book().config().version() != held) {
@@ -334,7 +338,7 @@
       }
     }
     const auto told = configs_.find(held);
-    if (told != configs_.end() && says_not_taken(told->second)) {
+    if (told != configs_.end() && says_not_accepted(told->second)) {
       return str_cat("configuration ", held, " though surely not taken");
     }
     const auto last = std::find_if(
@@ -344,29 +348,29 @@
     return lost ? str_cat("configuration ", last->first, " though taken") : "";
   }
 
-  std::string judge() {
-    std::string wrong = judge_configs();
+  std::string check_promises() {
+    std::string wrong = check_configs();
     for (const auto& box : boxes_) {
-      tally_.terms = std::max(tally_.terms, box->state().term());
+      counts_.terms = std::max(counts_.terms, box->state().term());
     }
     for (const auto& [job, it] : jobs_) {
-      bool not_taken = true;
+      bool not_accepted = true;
       bool ok = false;
       for (const auto& answer : it.answers) {
         count(answer);
-        not_taken = not_taken && says_not_taken(answer);
+        not_accepted = not_accepted && says_not_accepted(answer);
         ok = ok || answer == fleet::fleet_ok;
       }
-      if (not_taken) ++tally_.not_taken;
+      if (not_accepted) ++counts_.not_accepted;
       int holders = 0;
       for (const auto& box : boxes_) {
         if (box->controller().book().find(job_number(job))) ++holders;
       }
-      if (!ok && !not_taken) ++(holders > 0 ? tally_.taken : tally_.lost);
+      if (!ok && !not_accepted) ++(holders > 0 ? counts_.taken : counts_.lost);
       const bool ran = started_.contains(job_number(job));
       const std::string who = str_cat("job ", job, " held by ", holders);
-      if (not_taken && holders > 0) wrong = who + " though surely not taken";
-      if (not_taken && ran) wrong = who + " ran though surely not taken";
+      if (not_accepted && holders > 0) wrong = who + " though surely not taken";
+      if (not_accepted && ran) wrong = who + " ran though surely not taken";
       if (ok && holders < boxes) wrong = who + " though taken";
       if (holders % boxes != 0) wrong = who + ", not by all";
     }
@@ -378,15 +382,15 @@
   test_clock clock_;
   std::vector<std::unique_ptr<control_box>> boxes_;
   std::deque<worker> workers_;
-  std::vector<letter> letters_;
+  std::vector<raft_delivery> raft_deliveries_;
   std::vector<relayed_call> calls_;
   std::map<uint64_t, job_record> jobs_;
   std::set<job_number> started_;
   uint64_t version_ = 0;
-  bool asks_ = true;
+  bool configures_ = true;
   // Answers to configurations, by version.
   std::map<uint64_t, fleet::fleet_status> configs_;
-  tally tally_;
+  answer_counts counts_;
 };
 
 }  // namespace kestrelreel::refused
--- a/fleet/refusing-worker-test.cc
+++ b/fleet/refusing-worker-test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr milliseconds call_pause{200};
+constexpr milliseconds heartbeat_interval{200};
 
 /// Refuses what its last answer ordered; how many starts there were.
 int refuse_all(test_world& world, const std::string& worker) {
@@ -30,9 +30,9 @@
   world.submit(7, {test_world::make_step(1)});
   int starts = 0;
   for (milliseconds at{0}; at < std::chrono::seconds(seconds);
-       at += call_pause) {
+       at += heartbeat_interval) {
     starts += refuse_all(world, "a");
-    world.pass(call_pause);
+    world.pass(heartbeat_interval);
   }
   CHECK_TRUE(starts <= seconds);
   CHECK_TRUE(starts >= 3);
@@ -57,7 +57,7 @@
   for (int i = 0; i < 10; ++i) {
     refuse_all(world, "a");
     world.beat("b");
-    world.pass(call_pause);
+    world.pass(heartbeat_interval);
   }
   LONGS_EQUAL(2, world.workers["b"].running_size());
 }
--- a/fleet/restarted-leave-test.cc
+++ b/fleet/restarted-leave-test.cc
@@ -5,37 +5,37 @@
 #include "fleet/restarted-test-world.h"
 
 using namespace kestrelreel;
-using restarted::boxes;
-using restarted::first_born;
+using restarted::control_boxes;
+using restarted::first_start_ms;
+using restarted::heartbeat_route;
 using restarted::id;
-using restarted::life;
-using restarted::live_once;
-using restarted::road;
-using restarted::row;
-using restarted::rows;
-using restarted::second_born;
-using restarted::soon;
+using restarted::incarnation;
+using restarted::restart_case;
+using restarted::restart_cases;
+using restarted::run_first_incarnation;
+using restarted::second_start_ms;
 using restarted::submit;
+using restarted::takeover_time;
 
 TEST_GROUP(restarted_leave){};
 
 // A leave names no life: the one that said it drains is meant.
 TEST(restarted_leave, held_up_leave_of_the_earlier_life_ends_no_new_one) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     first.beat().set_draining(true);
     first.beat().set_remaining_ms(5'000);
-    first.call_for(milliseconds(400));
+    first.send_heartbeats_for(milliseconds(400));
     if (it.leader_changes) all.elect(1);
-    life second(all, it.calls_by, second_born, it.clock_ms);
-    second.call_for(soon);
+    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    second.send_heartbeats_for(takeover_time);
     fleet::fleet_request leave;
     leave.set_worker_leaves(id);
     LONGS_EQUAL_TEXT(fleet::fleet_ok, all.ask(leave).status(), it.name);
     submit(all, 4, 1);
-    second.call_for(soon);
+    second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(1, second.runs_of(4), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(3), it.name);
   }
@@ -44,33 +44,33 @@
 // It crashed behind a cut that its leave was held up by as well; the leave
 // tells the birth, and the next life drains too.
 TEST(restarted_leave, leave_that_tells_its_life_ends_just_that) {
-  boxes all;
-  life first(all, road::direct, first_born, 500'000);
-  live_once(all, first);
-  life second(all, road::direct, second_born, 2'000);
-  second.call_for(soon);
+  control_boxes all;
+  incarnation first(all, heartbeat_route::direct, first_start_ms, 500'000);
+  run_first_incarnation(all, first);
+  incarnation second(all, heartbeat_route::direct, second_start_ms, 2'000);
+  second.send_heartbeats_for(takeover_time);
   second.beat().set_draining(true);
   second.beat().set_remaining_ms(20'000);
-  second.call();
+  second.send_heartbeat();
   fleet::fleet_request leave;
   leave.set_worker_leaves(id);
-  leave.set_leaver_born(first_born);
+  leave.set_leaver_born(first_start_ms);
   LONGS_EQUAL(fleet::fleet_ok, all.ask(leave).status());
-  CHECK_FALSE(all.book().left().contains(life_of(id, second_born)));
-  leave.set_leaver_born(second_born);
+  CHECK_FALSE(all.book().left().contains(life_of(id, second_start_ms)));
+  leave.set_leaver_born(second_start_ms);
   LONGS_EQUAL(fleet::fleet_ok, all.ask(leave).status());
-  CHECK_TRUE(all.book().left().contains(life_of(id, second_born)));
+  CHECK_TRUE(all.book().left().contains(life_of(id, second_start_ms)));
 }
 
 // Its acknowledgement was lost, so that it comes once more when the life is
 // over: it must not be recorded as the leave of a worker without a birth.
 TEST(restarted_leave, leave_that_comes_again_after_the_end_leaves_nothing) {
-  boxes all;
-  life first(all, road::direct, first_born, 500'000);
-  live_once(all, first);
+  control_boxes all;
+  incarnation first(all, heartbeat_route::direct, first_start_ms, 500'000);
+  run_first_incarnation(all, first);
   first.beat().set_draining(true);
   first.beat().set_remaining_ms(300);
-  first.call();
+  first.send_heartbeat();
   fleet::fleet_request leave;
   leave.set_worker_leaves(id);
   all.ask(leave);
--- a/fleet/restarted-test-world.h
+++ b/fleet/restarted-test-world.h
@@ -10,22 +10,23 @@
 
 namespace kestrelreel::restarted {
 
-using cancelled::boxes;
-using cancelled::road;
+using cancelled::control_boxes;
+using cancelled::heartbeat_route;
 
 inline constexpr const char* id = "i-1";
 /// Calls that lie 0.8 s apart show that a life goes on; then an order and the
 /// next call.
-inline constexpr milliseconds soon{1'600};
-inline constexpr int calls_soon = 8;
-inline constexpr uint64_t second_born = 1'768'000'100'000;
-inline constexpr uint64_t first_born = second_born - 30'000;
+inline constexpr milliseconds takeover_time{1'600};
+inline constexpr int heartbeats_per_takeover = 8;
+inline constexpr uint64_t second_start_ms = 1'768'000'100'000;
+inline constexpr uint64_t first_start_ms = second_start_ms - 30'000;
 
 /// One life of the worker: carries out what it is told.
-class life {
+class incarnation {
  public:
-  life(boxes& all, road calls_by, uint64_t born, int64_t clock_ms)
-      : boxes_(all), road_(calls_by), begun_(all.clock.now()) {
+  incarnation(control_boxes& all, heartbeat_route route, uint64_t born,
+              int64_t clock_ms)
+      : boxes_(all), route_(route), begun_(all.clock.now()) {
     beat_.set_worker(id);
     beat_.set_born(born);
     beat_.set_pool("pool");
@@ -36,46 +37,46 @@
     clock_ms_ = clock_ms;
   }
 
-  fleet::worker_orders call() {
+  fleet::worker_orders send_heartbeat() {
     beat_.set_sequence(beat_.sequence() + 1);
     const milliseconds age = boxes_.clock.now() - begun_;
     beat_.set_clock_ms(static_cast<uint64_t>(clock_ms_ + age.count()));
-    last_ = send(beat_);
-    const fleet::worker_orders orders = last_.orders();
+    last_response_ = send(beat_);
+    const fleet::worker_orders orders = last_response_.orders();
     if (orders.hold_ms() == 0) return orders;
     auto& listed = *beat_.mutable_ended();
     while (!listed.empty() && listed.begin()->number() <= orders.last_end()) {
       listed.erase(listed.begin());
     }
     for (const fleet::start_order& start : orders.starts()) {
-      fleet::running_row& row = *beat_.add_running();
-      *row.mutable_task() = start.task();
-      row.set_run(start.run());
+      fleet::running_row& restart_case = *beat_.add_running();
+      *restart_case.mutable_task() = start.task();
+      restart_case.set_run(start.run());
     }
     return orders;
   }
   /// Calls every 200 ms for so long; the number of calls that brought a lease.
-  int call_for(milliseconds n) {
+  int send_heartbeats_for(milliseconds n) {
     int leases = 0;
-    for (milliseconds at{0}; at < n; at += cancelled::call_pause) {
-      if (call().hold_ms() > 0) ++leases;
-      boxes_.pass(cancelled::call_pause);
+    for (milliseconds at{0}; at < n; at += cancelled::heartbeat_interval) {
+      if (send_heartbeat().hold_ms() > 0) ++leases;
+      boxes_.pass(cancelled::heartbeat_interval);
     }
     return leases;
   }
   /// All that runs ends so.
   void end_all(fleet::run_outcome outcome = fleet::run_done) {
-    for (const fleet::running_row& row : beat_.running()) {
+    for (const fleet::running_row& restart_case : beat_.running()) {
       fleet::run_end& end = *beat_.add_ended();
       end.set_number(++ends_);
-      *end.mutable_task() = row.task();
-      end.set_run(row.run());
+      *end.mutable_task() = restart_case.task();
+      end.set_run(restart_case.run());
       end.set_outcome(outcome);
     }
     beat_.clear_running();
   }
   fleet::fleet_response send(const fleet::worker_beat& beat) {
-    if (road_ == road::intake) return boxes_.pass_on(beat);
+    if (route_ == heartbeat_route::intake) return boxes_.forward(beat);
     fleet::fleet_request request;
     *request.mutable_beat() = beat;
     return boxes_.ask(request);
@@ -83,66 +84,69 @@
   /// Runs of the job that it lists.
   int runs_of(uint64_t job) const {
     int n = 0;
-    for (const auto& row : beat_.running()) n += row.task().job() == job;
+    for (const auto& restart_case : beat_.running())
+      n += restart_case.task().job() == job;
     return n;
   }
   fleet::worker_beat& beat() { return beat_; }
-  const fleet::fleet_response& last() const { return last_; }
+  const fleet::fleet_response& last_response() const { return last_response_; }
 
  private:
-  boxes& boxes_;
-  road road_;
+  control_boxes& boxes_;
+  heartbeat_route route_;
   time_point begun_;
   int64_t clock_ms_;
   fleet::worker_beat beat_;
-  fleet::fleet_response last_;
+  fleet::fleet_response last_response_;
   uint64_t ends_ = 0;
 };
 
-inline void submit(boxes& all, uint64_t job, uint32_t tasks,
-                   bool lasts = false) {
+inline void submit(control_boxes& all, uint64_t job, uint32_t tasks,
+                   bool long_running = false) {
   fleet::step_spec step = test_world::make_step(tasks);
-  step.set_long_running(lasts);
+  step.set_long_running(long_running);
   all.ask(test_world::make_submit(job, {step}));
 }
 
-inline fleet::job_phase phase_of(boxes& all, uint64_t job) {
+inline fleet::job_phase phase_of(control_boxes& all, uint64_t job) {
   fleet::fleet_request request = test_world::make_call(job);
   request.mutable_job()->set_state(true);
   return all.ask(request).phase();
 }
 
 /// How the second life differs, and what happens around it.
-struct row {
+struct restart_case {
   const char* name;
-  road calls_by;
+  heartbeat_route route;
   bool leader_changes;
   // What the clock of the second life shows first; that of the first life
   // begins at 500,000.
   int64_t clock_ms;
 };
 
-inline const row rows[] = {
-    {"at the leader", road::direct, false, 2'000},
-    {"at the leader, a higher clock", road::direct, false, 9'000'000},
-    {"through another box", road::intake, false, 2'000},
-    {"at the leader, which changes", road::direct, true, 2'000},
-    {"through another box, the leader changes", road::intake, true, 9'000'000},
+inline const restart_case restart_cases[] = {
+    {"at the leader", heartbeat_route::direct, false, 2'000},
+    {"at the leader, a higher clock", heartbeat_route::direct, false,
+     9'000'000},
+    {"through another box", heartbeat_route::intake, false, 2'000},
+    {"at the leader, which changes", heartbeat_route::direct, true, 2'000},
+    {"through another box, the leader changes", heartbeat_route::intake, true,
+     9'000'000},
 };
 
 /// Five ends of a first life are recorded, then it runs two tasks more: one
 /// lasts.
-inline void live_once(boxes& all, life& it) {
-  it.call_for(milliseconds(1'000));
+inline void run_first_incarnation(control_boxes& all, incarnation& it) {
+  it.send_heartbeats_for(milliseconds(1'000));
   submit(all, 1, 3);
-  it.call_for(milliseconds(400));
+  it.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(3, it.runs_of(1));
   it.end_all();
-  it.call_for(milliseconds(400));
+  it.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(fleet::job_succeeded, phase_of(all, 1));
   submit(all, 2, 1);
   submit(all, 3, 1, true);
-  it.call_for(milliseconds(400));
+  it.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(1, it.runs_of(2));
   LONGS_EQUAL(1, it.runs_of(3));
 }
--- a/fleet/restarted-worker-test.cc
+++ b/fleet/restarted-worker-test.cc
@@ -17,35 +17,36 @@
 #include "fleet/restarted-test-world.h"
 
 using namespace kestrelreel;
-using restarted::boxes;
-using restarted::calls_soon;
-using restarted::first_born;
+using restarted::control_boxes;
+using restarted::first_start_ms;
+using restarted::heartbeat_route;
+using restarted::heartbeats_per_takeover;
 using restarted::id;
-using restarted::life;
-using restarted::live_once;
+using restarted::incarnation;
 using restarted::phase_of;
-using restarted::road;
-using restarted::row;
-using restarted::rows;
-using restarted::second_born;
-using restarted::soon;
+using restarted::restart_case;
+using restarted::restart_cases;
+using restarted::run_first_incarnation;
+using restarted::second_start_ms;
 using restarted::submit;
+using restarted::takeover_time;
 
 TEST_GROUP(restarted_worker){};
 
 TEST(restarted_worker, is_used_at_once_and_what_ran_there_starts_anew) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     if (it.leader_changes) all.elect(1);
     all.pass(milliseconds(600));
-    life second(all, it.calls_by, second_born, it.clock_ms);
-    CHECK_TRUE_TEXT(second.call().hold_ms() > 0, it.name);
+    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    CHECK_TRUE_TEXT(second.send_heartbeat().hold_ms() > 0, it.name);
     submit(all, 4, 1);
-    LONGS_EQUAL_TEXT(2, second.call_for(milliseconds(400)), it.name);
+    LONGS_EQUAL_TEXT(2, second.send_heartbeats_for(milliseconds(400)), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(4), it.name);
-    LONGS_EQUAL_TEXT(calls_soon, second.call_for(soon), it.name);
+    LONGS_EQUAL_TEXT(heartbeats_per_takeover,
+                     second.send_heartbeats_for(takeover_time), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(2), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(3), it.name);
     LONGS_EQUAL_TEXT(2, second.beat().running(1).run(), it.name);
@@ -55,68 +56,68 @@
 // Until the earlier life is known to be over, its room is none: what is placed
 // there would wait for the lease of a life that is gone.
 TEST(restarted_worker, earlier_life_gets_no_new_work) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     if (it.leader_changes) {
       all.elect(1);
-      first.call();
+      first.send_heartbeat();
     }
-    all.pass(cancelled::call_pause);
-    life second(all, it.calls_by, second_born, it.clock_ms);
-    second.call();
+    all.pass(cancelled::heartbeat_interval);
+    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    second.send_heartbeat();
     submit(all, 4, 6);
-    second.call_for(milliseconds(400));
+    second.send_heartbeats_for(milliseconds(400));
     LONGS_EQUAL_TEXT(4, second.runs_of(4), it.name);
-    for (const run_key& run : all.book().runs_on(life_of(id, first_born))) {
+    for (const run_key& run : all.book().runs_on(life_of(id, first_start_ms))) {
       CHECK_TRUE_TEXT(run.task.job.value() != 4, it.name);
     }
   }
 }
 
 TEST(restarted_worker, its_first_ends_count_and_none_is_told_before) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     first.end_all(fleet::run_failed);
-    first.call_for(milliseconds(400));
+    first.send_heartbeats_for(milliseconds(400));
     all.pass(milliseconds(600));
     if (it.leader_changes) all.elect(1);
-    life second(all, it.calls_by, second_born, it.clock_ms);
-    LONGS_EQUAL_TEXT(0, second.call().last_end(), it.name);
-    second.call_for(soon);
+    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    LONGS_EQUAL_TEXT(0, second.send_heartbeat().last_end(), it.name);
+    second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(1, second.runs_of(2), it.name);
     second.end_all();
-    second.call_for(soon);
+    second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(all, 2), it.name);
     LONGS_EQUAL_TEXT(0, second.runs_of(2), it.name);
   }
 }
 
 TEST(restarted_worker, its_first_end_is_not_the_one_that_the_log_holds) {
-  boxes all;
-  life first(all, road::direct, first_born, 500'000);
-  live_once(all, first);
+  control_boxes all;
+  incarnation first(all, heartbeat_route::direct, first_start_ms, 500'000);
+  run_first_incarnation(all, first);
   all.pass(milliseconds(8'000));
   all.elect(1);
-  life second(all, road::direct, second_born, 2'000);
-  LONGS_EQUAL(0, second.call().last_end());
-  second.call_for(soon);
+  incarnation second(all, heartbeat_route::direct, second_start_ms, 2'000);
+  LONGS_EQUAL(0, second.send_heartbeat().last_end());
+  second.send_heartbeats_for(takeover_time);
   LONGS_EQUAL(1, second.runs_of(2));
   second.end_all();
-  second.call_for(soon);
+  second.send_heartbeats_for(takeover_time);
   LONGS_EQUAL(fleet::job_succeeded, phase_of(all, 2));
 }
 
 // Held up by a cut, it arrives after the new life has called: it must neither
 // stand for the new life's rows and ends, nor bring the earlier one back.
 TEST(restarted_worker, held_up_heartbeat_of_the_earlier_life_changes_nothing) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     fleet::worker_beat held_up = first.beat();
     held_up.set_sequence(held_up.sequence() + 1);
     fleet::run_end& end = *held_up.add_ended();
@@ -125,28 +126,29 @@
     end.set_run(1);
     end.set_outcome(fleet::run_failed);
     if (it.leader_changes) all.elect(1);
-    life second(all, it.calls_by, second_born, it.clock_ms);
-    second.call_for(soon);
+    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(2, second.beat().running_size(), it.name);
     LONGS_EQUAL_TEXT(0, second.send(held_up).orders().hold_ms(), it.name);
-    const fleet::worker_orders next = second.call();
+    const fleet::worker_orders next = second.send_heartbeat();
     CHECK_TRUE_TEXT(next.hold_ms() > 0, it.name);
     LONGS_EQUAL_TEXT(0, next.stops_size(), it.name);
     LONGS_EQUAL_TEXT(0, next.last_end(), it.name);
-    LONGS_EQUAL_TEXT(calls_soon, second.call_for(soon), it.name);
+    LONGS_EQUAL_TEXT(heartbeats_per_takeover,
+                     second.send_heartbeats_for(takeover_time), it.name);
     LONGS_EQUAL_TEXT(2, second.beat().running_size(), it.name);
   }
 }
 
 // Both lives are at their third call: the answer to one is none to the other.
 TEST(restarted_worker, answer_to_the_earlier_life_goes_to_no_later_one) {
-  boxes all;
+  control_boxes all;
   metrics_registry metrics;
   beat_intake intake({}, all.clock, metrics);
   fleet::worker_beat beat;
   beat.set_worker(id);
   beat.set_sequence(3);
-  beat.set_born(first_born);
+  beat.set_born(first_start_ms);
   fleet::fleet_response to_first;
   intake.take(beat, [&](fleet::fleet_response it) { to_first = it; });
   fleet::beat_answers answers;
@@ -156,7 +158,7 @@
   all.commit();
   all.pass(milliseconds(700));
   LONGS_EQUAL(1, answers.answers_size());
-  beat.set_born(second_born);
+  beat.set_born(second_start_ms);
   int asked = 0;
   intake.take(beat, [&](fleet::fleet_response) { ++asked; });
   intake.answered(answers);
@@ -165,14 +167,14 @@
 
 // Its time of day was set back between the two starts.
 TEST(restarted_worker, life_with_an_earlier_birth_is_taken_in_where_it_lives) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     if (it.leader_changes) all.elect(1);
     all.pass(milliseconds(600));
-    life second(all, it.calls_by, first_born - 5'000, it.clock_ms);
-    second.call_for(milliseconds(5'000));
+    incarnation second(all, it.route, first_start_ms - 5'000, it.clock_ms);
+    second.send_heartbeats_for(milliseconds(5'000));
     LONGS_EQUAL_TEXT(1, second.runs_of(2), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(3), it.name);
   }
@@ -182,7 +184,7 @@
   struct named {
     const char* name;
     uint64_t born;
-    const char* life;
+    const char* incarnation;
   };
   const named table[] = {
       {"i-1", 0, "i-1"},
@@ -191,23 +193,23 @@
       {"i-1", 1'768'000'001'918, "i-1#1768000001918"},
   };
   for (const named& it : table) {
-    const worker_id life = life_of(it.name, it.born);
-    STRCMP_EQUAL(it.life, life.str().c_str());
-    STRCMP_EQUAL(it.name, name_of(life).c_str());
-    CHECK_TRUE_TEXT(it.born == born_of(life), it.life);
+    const worker_id incarnation = life_of(it.name, it.born);
+    STRCMP_EQUAL(it.incarnation, incarnation.str().c_str());
+    STRCMP_EQUAL(it.name, name_of(incarnation).c_str());
+    CHECK_TRUE_TEXT(it.born == born_of(incarnation), it.incarnation);
   }
 }
 
 TEST(restarted_worker, many_times_in_series) {
-  for (const row& it : rows) {
-    boxes all;
-    life first(all, it.calls_by, first_born, 500'000);
-    live_once(all, first);
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
+    incarnation first(all, it.route, first_start_ms, 500'000);
+    run_first_incarnation(all, first);
     for (uint64_t n = 1; n <= 5; ++n) {
       if (it.leader_changes) all.elect(n % 2);
-      life next(all, it.calls_by, first_born + n * 2'000,
-                it.clock_ms + static_cast<int64_t>(n % 2) * 700'000);
-      next.call_for(soon);
+      incarnation next(all, it.route, first_start_ms + n * 2'000,
+                       it.clock_ms + static_cast<int64_t>(n % 2) * 700'000);
+      next.send_heartbeats_for(takeover_time);
       LONGS_EQUAL_TEXT(1, next.runs_of(2), it.name);
       LONGS_EQUAL_TEXT(n + 1, next.beat().running(0).run(), it.name);
     }
@@ -217,21 +219,21 @@
 // A new leader took a living life for one that was over, read its good end,
 // left it out, and started the task again when that life was over.
 TEST(restarted_worker, good_end_of_a_life_in_doubt_counts) {
-  for (const row& it : rows) {
-    boxes all;
+  for (const restart_case& it : restart_cases) {
+    control_boxes all;
     // The clock was set back between the two lives.
-    life first(all, it.calls_by, second_born, 500'000);
-    live_once(all, first);
-    life second(all, it.calls_by, first_born, it.clock_ms);
-    second.call_for(milliseconds(1'000));
+    incarnation first(all, it.route, second_start_ms, 500'000);
+    run_first_incarnation(all, first);
+    incarnation second(all, it.route, first_start_ms, it.clock_ms);
+    second.send_heartbeats_for(milliseconds(1'000));
     submit(all, 4, 1);
-    second.call_for(milliseconds(200));
+    second.send_heartbeats_for(milliseconds(200));
     LONGS_EQUAL_TEXT(1, second.runs_of(4), it.name);
     second.end_all();
     all.elect(1);
-    LONGS_EQUAL_TEXT(0, second.call().hold_ms(), it.name);
-    life third(all, it.calls_by, second_born + 60'000, 1'000);
-    third.call_for(3 * soon);
+    LONGS_EQUAL_TEXT(0, second.send_heartbeat().hold_ms(), it.name);
+    incarnation third(all, it.route, second_start_ms + 60'000, 1'000);
+    third.send_heartbeats_for(3 * takeover_time);
     LONGS_EQUAL_TEXT(0, third.runs_of(4), it.name);
     LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(all, 4), it.name);
   }
--- a/fleet/slow-test-parts.h
+++ b/fleet/slow-test-parts.h
@@ -15,19 +15,19 @@
 
 constexpr milliseconds step_time{20};
 constexpr milliseconds answer_limit{1'000};
-constexpr milliseconds beat_pause{200};
+constexpr milliseconds heartbeat_interval{200};
 /// The longest delay that is not a disturbance.
-constexpr milliseconds quick{30};
+constexpr milliseconds normal_delay{30};
 constexpr int boxes = 3;
-constexpr int places = 8;
-constexpr uint64_t worker_room = 4;
+constexpr int worker_count = 8;
+constexpr uint64_t worker_processors = 4;
 /// When the world began, in ms since 1970.
-constexpr uint64_t first_born = 1'768'000'000'000;
+constexpr uint64_t start_unix_ms = 1'768'000'000'000;
 
 /// Draws of one seed.
-class chance {
+class random_draws {
  public:
-  explicit chance(uint64_t seed) : engine_(seed) {}
+  explicit random_draws(uint64_t seed) : engine_(seed) {}
   bool one_in(unsigned n) { return draw(n) == 0; }
   uint64_t draw(uint64_t n) { return engine_() % n; }
   milliseconds up_to(milliseconds n) {
@@ -49,15 +49,15 @@
   unsigned stall = 0;
   unsigned election = 0;
   unsigned crash = 0;
-  unsigned slow_reading = 0;
+  unsigned slow_read = 0;
   unsigned cut = 0;
   unsigned leave = 0;
   // Links are quick, and workers drain for a second at least before they leave.
-  bool steady = false;
+  bool quiet_links = false;
   // Machines that crash and start again under the id that they had.
-  unsigned again = 0;
+  unsigned restart = 0;
   // One in so many of these tells a birth from a clock that was set back.
-  unsigned set_back = 0;
+  unsigned clock_set_back = 0;
   // Workers call any box, which passes on what differs to the leader.
   bool intakes = false;
 };
@@ -84,21 +84,21 @@
 };
 
 /// A worker's leave, on a road of its own.
-struct departure {
+struct leave_message {
   time_point arrives;
   std::string life;
   std::string worker;
 };
 
 /// What a box took in for the leader, on its way there.
-struct passed_batch {
+struct forwarded_batch {
   time_point arrives;
   int from;
   fleet::beat_batch batch;
 };
 
 /// The leader's answer, on its way to the box that took the call in.
-struct passed_answer {
+struct forwarded_answer {
   time_point arrives;
   fleet::beat_answer answer;
 };
@@ -107,22 +107,22 @@
   std::unique_ptr<box_log> log;
   std::unique_ptr<fleet_controller> controller;
   std::unique_ptr<beat_intake> intake;
-  int told_leader = -1;
-  std::vector<passed_batch> batches;
-  std::vector<passed_answer> replies;
+  int known_leader = -1;
+  std::vector<forwarded_batch> batches;
+  std::vector<forwarded_answer> replies;
   std::vector<heartbeat> inbox;
-  std::vector<departure> departures;
+  std::vector<leave_message> leave_messages;
   time_point stalled_until{};
   size_t applied = 0;
 };
 
-struct live_run {
+struct timed_run {
   run_key run;
   time_point ends;
 };
 
 /// One machine and its present life.
-struct machine {
+struct simulated_worker {
   // No two lives share an id; to the boxes a later one may bear an earlier
   // one's name.
   std::string id;
@@ -150,7 +150,8 @@
 };
 
 /// What the machine tells of itself.
-inline fleet::worker_beat make_beat(const machine& it, time_point now) {
+inline fleet::worker_beat make_beat(const simulated_worker& it,
+                                    time_point now) {
   fleet::worker_beat beat;
   beat.set_worker(it.name);
   beat.set_born(it.born_ms);
@@ -163,7 +164,7 @@
     const milliseconds left = *it.leaves_at - now;
     beat.set_remaining_ms(static_cast<uint64_t>(left.count()));
   }
-  beat.set_cpu_milli(worker_room * 1'000);
+  beat.set_cpu_milli(worker_processors * 1'000);
   beat.set_memory_mb(10'000);
   for (const auto& [run, ends] : it.runs) {
     fleet::running_row& row = *beat.add_running();
@@ -176,7 +177,7 @@
 
 /// The leader's answers that have come.
 inline void read_replies(box& it, time_point now) {
-  std::erase_if(it.replies, [&](const passed_answer& reply) {
+  std::erase_if(it.replies, [&](const forwarded_answer& reply) {
     if (reply.arrives > now) return false;
     fleet::beat_answers one;
     *one.add_answers() = reply.answer;
@@ -194,70 +195,74 @@
 
 /// What the log is asked to keep, and from when it lasts.
 struct proposal {
-  time_point lasts;
+  time_point commits_at;
   fleet::fleet_command command;
 };
 
 /// A good end, at the life of a worker that lists it.
-struct good_end {
+struct successful_end {
   std::string worker;
   uint64_t number;
   time_point at;
-  bool noted = false;
+  bool acknowledged = false;
   bool lapsed = false;
   bool started_after = false;
   // Nothing held up the worker's calls: the end is owed to be counted.
-  bool owed = false;
+  bool must_count = false;
 };
 
 /// The good ends of all runs, and what became of them.
-class end_ledger {
+class end_tracker {
  public:
-  void add(const task_key& task, const good_end& end) {
+  void add(const task_key& task, const successful_end& end) {
     ends_[task].push_back(end);
   }
   /// An end that was not taken note of while the lease held is owed nothing.
-  void lapse(const std::string& worker) {
+  void expire_lease(const std::string& worker) {
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) {
-        if (end.worker == worker && !end.noted) end.lapsed = true;
+      for (successful_end& end : ends) {
+        if (end.worker == worker && !end.acknowledged) end.lapsed = true;
       }
     }
   }
   /// All that the worker listed is owed to be counted.
-  void owe(const std::string& worker) {
+  void require_counted(const std::string& worker) {
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) end.owed |= end.worker == worker;
+      for (successful_end& end : ends) end.must_count |= end.worker == worker;
     }
   }
   /// The ends up to that number are taken note of; what is wrong with that.
-  std::string note(const std::string& worker, uint64_t last) {
-    std::string wrong;
+  std::string acknowledge(const std::string& worker, uint64_t last) {
+    std::string violation;
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) {
-        if (end.worker != worker || end.number > last || end.noted) continue;
-        end.noted = true;
+      for (successful_end& end : ends) {
+        if (end.worker != worker || end.number > last || end.acknowledged)
+          continue;
+        end.acknowledged = true;
         if (!end.started_after || end.lapsed) continue;
-        wrong = to_text(task) + " ended well, was started again, then noted";
+        violation =
+            to_text(task) + " ended well, was started again, then noted";
       }
     }
-    return wrong;
+    return violation;
   }
   /// The task starts once more; what is wrong with that.
   std::string start(const task_key& task) {
-    std::string wrong;
+    std::string violation;
     const auto found = ends_.find(task);
-    if (found == ends_.end()) return wrong;
-    for (good_end& end : found->second) {
-      if (end.noted && !end.lapsed) wrong = to_text(task) + " was done";
-      if (end.owed && !end.lapsed) wrong = to_text(task) + " had ended well";
+    if (found == ends_.end()) return violation;
+    for (successful_end& end : found->second) {
+      if (end.acknowledged && !end.lapsed)
+        violation = to_text(task) + " was done";
+      if (end.must_count && !end.lapsed)
+        violation = to_text(task) + " had ended well";
       end.started_after = true;
     }
-    return wrong;
+    return violation;
   }
 
  private:
-  std::map<task_key, std::vector<good_end>> ends_;
+  std::map<task_key, std::vector<successful_end>> ends_;
 };
 
 }  // namespace kestrelreel::slow
--- a/fleet/slow-test-rows.h
+++ b/fleet/slow-test-rows.h
@@ -18,9 +18,9 @@
     int done = 0;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       slow_world world(seed, it);
-      const std::string wrong = world.run(length);
+      const std::string violation = world.run(length);
       STRCMP_EQUAL_TEXT(
-          "", wrong.c_str(),
+          "", violation.c_str(),
           (std::string(it.name) + ", seed " + std::to_string(seed)).c_str());
       done += world.done();
     }
--- a/support/benchmarks/leader-benchmark.cc
+++ b/support/benchmarks/leader-benchmark.cc
@@ -22,12 +22,12 @@
 }
 
 void print_lag(int workers, double share) {
-  busy::setting it = busy::make_fleet(workers);
+  busy::scenario it = busy::make_fleet(workers);
   it.processor_share = share;
   busy::busy_world world(it);
   for (int second = 1; second <= 20; ++second) {
     const uint64_t before = world.out().answers;
-    world.pass(busy::cost_second);
+    world.pass(busy::measured_second);
     const busy::outcome& out = world.out();
     std::printf(
         "share=%.2f workers=%d second=%d answers=%llu lapsed=%d done=%d "
@@ -35,7 +35,7 @@
         share, workers, second,
         static_cast<unsigned long long>(out.answers - before), out.lapsed,
         out.done, static_cast<long long>(out.longest_order_lag.count()),
-        out.wrong.c_str());
+        out.violation.c_str());
     std::fflush(stdout);
   }
 }
--- a/support/fuzzing/decisions-run.cc
+++ b/support/fuzzing/decisions-run.cc
@@ -149,7 +149,7 @@
     const auto beat = platform::read_beat(id, body);
     if (!beat.ok()) return std::nullopt;
     // Odd ones call another box than the leader.
-    if (id.back() % 2 == 1) return boxes_.pass_on(*beat);
+    if (id.back() % 2 == 1) return boxes_.forward(*beat);
     fleet::fleet_request request;
     *request.mutable_beat() = *beat;
     return boxes_.ask(request);
@@ -226,7 +226,7 @@
   }
 
   script decide_;
-  cancelled::boxes boxes_;
+  cancelled::control_boxes boxes_;
   std::deque<life> lives_;
   std::set<task_key> noted_;
   uint64_t jobs_ = 0;
