--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -127,7 +127,7 @@
     while (budget_us_ > 0 && run_next_source()) {
     }
     for (size_t i = 0; i < workers_.size(); ++i) advance_worker(i);
-    for (reply& it : std::exchange(replies_, {})) handle_answer(it);
+    for (reply& it : std::exchange(replies_, {})) handle(it);
   }
 
   /// Submits the short jobs that are due, spread evenly over time.
@@ -354,7 +354,7 @@
         });
   }
 
-  void handle_answer(reply& answer) {
+  void handle(reply& answer) {
     busy_worker& c = workers_[answer.worker];
     simulated_worker& it = c.state;
     if (c.lost || it.pending != answer.sequence) return;
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -57,8 +57,8 @@
     if (!receive_start_order()) return "no start order";
     if (!cancel_and_drain()) return "the cancel was not acknowledged";
     if (!wait_and_start()) return "the awaited event did not happen";
-    const std::string wrong = check_until_stopped();
-    return wrong.empty() ? check_after_stop() : wrong;
+    const std::string violation = check_until_stopped();
+    return violation.empty() ? check_after_stop() : violation;
   }
 
  private:
@@ -160,16 +160,16 @@
         boxes_.clock.now() + max_cancel_delay + max_stop_time;
     while (!worker_.beat().running().empty()) {
       if (boxes_.clock.now() >= last) return "the run goes on";
-      std::string wrong = exchange_heartbeats();
-      if (!wrong.empty()) return wrong;
+      std::string violation = exchange_heartbeats();
+      if (!violation.empty()) return violation;
     }
     return "";
   }
   std::string check_after_stop() {
     const time_point last = boxes_.clock.now() + max_cancel_delay;
     while (boxes_.clock.now() < last) {
-      std::string wrong = exchange_heartbeats();
-      if (!wrong.empty()) return wrong;
+      std::string violation = exchange_heartbeats();
+      if (!violation.empty()) return violation;
     }
     if (!worker_.beat().ended().empty())
       return "the end of the run is not acknowledged";
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -75,8 +75,8 @@
     }
   }
   void commit() {
-    constexpr int most_rounds = 20;
-    for (int i = 0; i < most_rounds; ++i) {
+    constexpr int max_rounds = 20;
+    for (int i = 0; i < max_rounds; ++i) {
       record();
       leader().settle();
       if (log().proposed.empty()) return;
--- a/fleet/crashing-test-world.h
+++ b/fleet/crashing-test-world.h
@@ -104,11 +104,11 @@
   /// Returns the elapsed time.
   milliseconds run_until(uint64_t job, fleet::job_phase phase,
                          milliseconds limit) {
-    const time_point begun = all.clock.now();
-    while (phase_of(job) != phase && all.clock.now() - begun < limit) {
+    const time_point started_at = all.clock.now();
+    while (phase_of(job) != phase && all.clock.now() - started_at < limit) {
       run_for(heartbeat_interval);
     }
-    return all.clock.now() - begun;
+    return all.clock.now() - started_at;
   }
   /// Crashes a worker, independently of its tasks.
   void crash(size_t worker) {
@@ -156,9 +156,9 @@
   static constexpr milliseconds work_time{600};
   struct incarnation {
     fleet::worker_beat beat;
-    time_point begun{};
+    time_point started_at{};
     time_point lease_until{};
-    std::map<run_key, time_point> began;
+    std::map<run_key, time_point> start_times;
     std::optional<time_point> crashes_at;
     uint64_t ends = 0;
   };
@@ -174,7 +174,7 @@
   void start_incarnation(size_t i) {
     worker_slot& it = workers_[i];
     incarnation& current = it.current.emplace();
-    current.begun = all.clock.now();
+    current.started_at = all.clock.now();
     ++it.incarnations;
     fleet::worker_beat& beat = current.beat;
     const std::string name = str_cat("w", i);
@@ -182,14 +182,14 @@
                                        : str_cat(name, "-", it.incarnations));
     if (settings_.keeps_id) {
       beat.set_born(1'768'000'000'000 +
-                    static_cast<uint64_t>(current.begun.count()));
+                    static_cast<uint64_t>(current.started_at.count()));
     }
     beat.set_pool("pool");
     beat.set_address(str_cat(name, ":1"));
     beat.set_cpu_milli(4'000);
     beat.set_memory_mb(1'000);
     it.next_call =
-        current.begun + milliseconds(static_cast<int64_t>(i % 2) * 100);
+        current.started_at + milliseconds(static_cast<int64_t>(i % 2) * 100);
   }
 
   void advance_worker(size_t i) {
@@ -213,12 +213,12 @@
   void end_due_runs(incarnation& it) {
     const time_point now = all.clock.now();
     std::vector<std::pair<run_key, fleet::run_outcome>> due;
-    for (const auto& [run, began] : it.began) {
+    for (const auto& [run, started] : it.start_times) {
       const fleet::step_spec* step = all.book().find_step(run.task);
       const bool is_long_running = step != nullptr && step->long_running();
       if (now >= it.lease_until) {
         due.emplace_back(run, fleet::run_lapsed);
-      } else if (!is_long_running && now - began >= work_time &&
+      } else if (!is_long_running && now - started >= work_time &&
                  !it.crashes_at) {
         due.emplace_back(
             run, gang_breaks(run.task) ? fleet::run_broken : fleet::run_done);
@@ -240,7 +240,7 @@
 
   static void end(incarnation& it, const run_key& run,
                   fleet::run_outcome outcome) {
-    it.began.erase(run);
+    it.start_times.erase(run);
     auto& rows = *it.beat.mutable_running();
     for (auto row = rows.begin(); row != rows.end(); ++row) {
       if (to_key(row->task()) != run.task) continue;
@@ -264,7 +264,7 @@
 
   void send_heartbeat(incarnation& it) {
     it.beat.set_sequence(it.beat.sequence() + 1);
-    const milliseconds age = all.clock.now() - it.begun;
+    const milliseconds age = all.clock.now() - it.started_at;
     it.beat.set_clock_ms(static_cast<uint64_t>(1'000 + age.count()));
     const fleet::worker_orders orders = send(it.beat);
     if (orders.hold_ms() == 0) return;
@@ -276,7 +276,7 @@
     }
     for (const fleet::stop_order& stop : orders.stops()) {
       const run_key run{to_key(stop.task()), run_number(stop.run())};
-      if (it.began.contains(run)) end(it, run, fleet::run_stopped);
+      if (it.start_times.contains(run)) end(it, run, fleet::run_stopped);
     }
     for (const fleet::start_order& start : orders.starts())
       start_run(it, start);
@@ -284,8 +284,8 @@
 
   void start_run(incarnation& it, const fleet::start_order& start) {
     const run_key run{to_key(start.task()), run_number(start.run())};
-    if (it.began.contains(run)) return;
-    it.began[run] = all.clock.now();
+    if (it.start_times.contains(run)) return;
+    it.start_times[run] = all.clock.now();
     fleet::running_row& row = *it.beat.add_running();
     *row.mutable_task() = start.task();
     row.set_run(start.run());
--- a/fleet/fleet-cost-test-rows.h
+++ b/fleet/fleet-cost-test-rows.h
@@ -40,11 +40,11 @@
   const leader_costs few = min_costs(small_fleet);
   const leader_costs many = min_costs(large_fleet);
   for (const cost_row& it : rows) {
-    const double times = many.*it.cost / few.*it.cost;
+    const double ratio = many.*it.cost / few.*it.cost;
     const std::string text = std::string(it.name) + ": " +
-                             std::to_string(times) + " times, at most " +
+                             std::to_string(ratio) + " times, at most " +
                              std::to_string(it.max_ratio);
-    CHECK_TRUE_TEXT(times <= it.max_ratio, text.c_str());
+    CHECK_TRUE_TEXT(ratio <= it.max_ratio, text.c_str());
   }
 }
 
--- a/fleet/over-life-test.cc
+++ b/fleet/over-life-test.cc
@@ -18,7 +18,8 @@
 TEST_GROUP(over_life) {
   test_world world;
 
-  fleet::fleet_response call(const std::string& worker, int64_t own_clock_ms) {
+  fleet::fleet_response send_heartbeat(const std::string& worker,
+                                       int64_t own_clock_ms) {
     fleet::worker_beat& it = world.workers[worker];
     it.set_worker(worker);
     it.set_pool("pool");
@@ -40,13 +41,13 @@
   /// own clock, while the incarnation with a run is silent.
   void call_beside_a_run(int64_t own_apart) {
     world.configure();
-    call("live", 5'000);
+    send_heartbeat("live", 5'000);
     world.submit(7, {test_world::make_step(1)});
-    call("live", 5'100);
+    send_heartbeat("live", 5'100);
     LONGS_EQUAL(1, runs_at("live"));
     world.pass(milliseconds(300));
     for (int i = 0; i < 3; ++i) {
-      call("other", 900'000 + own_apart * i);
+      send_heartbeat("other", 900'000 + own_apart * i);
       world.pass(milliseconds(900));
     }
   }
@@ -59,15 +60,15 @@
   world.configure();
   constexpr int64_t live = 5'000;
   constexpr int64_t earlier = 900'000;
-  call("live", live);
+  send_heartbeat("live", live);
   world.pass(milliseconds(300));
-  call("earlier", earlier);
+  send_heartbeat("earlier", earlier);
   world.pass(milliseconds(1'000));
-  call("earlier", earlier + 1'000);
+  send_heartbeat("earlier", earlier + 1'000);
   world.pass(milliseconds(900));
   int64_t at = 0;
   constexpr int64_t soon = 1'200;
-  while (call("live", live + 2'200 + at).orders().hold_ms() == 0) {
+  while (send_heartbeat("live", live + 2'200 + at).orders().hold_ms() == 0) {
     at += 300;
     world.pass(milliseconds(300));
     CHECK_TRUE(at <= soon);
@@ -90,7 +91,7 @@
 
 TEST(over_life, delayed_heartbeats_do_not_revive_an_incarnation) {
   world.configure();
-  call("a", 5'000);
+  send_heartbeat("a", 5'000);
   leave("a");
   world.pass(milliseconds(1'500));
   world.submit(7, {test_world::make_step(1)});
@@ -104,7 +105,7 @@
   for (const row& it : rows) {
     int64_t own = 6'000;
     for (int i = 0; i < 5; ++i) {
-      LONGS_EQUAL_TEXT(0, call("a", own).orders().hold_ms(), it.name);
+      LONGS_EQUAL_TEXT(0, send_heartbeat("a", own).orders().hold_ms(), it.name);
       own += it.own_apart;
       world.pass(it.apart);
     }
@@ -130,11 +131,11 @@
 
 TEST(over_life, worker_that_left_gets_no_new_tasks) {
   world.configure();
-  call("a", 5'000);
+  send_heartbeat("a", 5'000);
   leave("a");
   world.submit(7, {test_world::make_step(1)});
   for (int i = 1; i < 20; ++i) {
-    LONGS_EQUAL(0, call("a", 5'000 + 200 * i).orders().starts_size());
+    LONGS_EQUAL(0, send_heartbeat("a", 5'000 + 200 * i).orders().starts_size());
     world.pass(milliseconds(200));
   }
   LONGS_EQUAL(0, runs_at("a"));
@@ -142,13 +143,13 @@
 
 TEST(over_life, unsent_run_of_a_worker_that_left_is_released) {
   world.configure();
-  call("a", 5'000);
+  send_heartbeat("a", 5'000);
   world.submit(7, {test_world::make_step(1)});
   LONGS_EQUAL(1, runs_at("a"));
   leave("a");
   for (int i = 1; i < 20; ++i) {
     world.pass(milliseconds(200));
-    call("a", 5'000 + 200 * i);
+    send_heartbeat("a", 5'000 + 200 * i);
   }
   LONGS_EQUAL(0, runs_at("a"));
 }
--- a/fleet/placed-in-vain-test.cc
+++ b/fleet/placed-in-vain-test.cc
@@ -77,16 +77,16 @@
       {"overloaded", 6'000, true, {.answer = 250}},
       {"overloaded", 12'000, true, {.read = 15, .answer = 150}},
   };
-  std::string wrong;
+  std::string failures;
   for (const row& it : rows) {
     const busy::outcome out = run_scenario(it);
     const std::string text = to_text(it, out);
     STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, text.c_str());
-    const bool holds = out.longest_placed_wait <= max_placed_wait &&
-                       out.longest_downtime <= busy::max_downtime &&
-                       out.max_placements <= max_placements;
-    if (!holds) wrong += text + "\n";
+    const bool within_limits = out.longest_placed_wait <= max_placed_wait &&
+                               out.longest_downtime <= busy::max_downtime &&
+                               out.max_placements <= max_placements;
+    if (!within_limits) failures += text + "\n";
   }
-  CHECK_TRUE_TEXT(wrong.empty(), wrong.c_str());
+  CHECK_TRUE_TEXT(failures.empty(), failures.c_str());
 }
--- a/fleet/refused-job-test.cc
+++ b/fleet/refused-job-test.cc
@@ -26,7 +26,7 @@
   all.invalid += it.invalid;
   all.unknown += it.unknown;
   all.unanswered += it.unanswered;
-  all.taken += it.taken;
+  all.accepted += it.accepted;
   all.lost += it.lost;
   all.not_accepted += it.not_accepted;
   all.started += it.started;
@@ -39,8 +39,8 @@
       "unanswered %d; jobs: not accepted %d, unclear and accepted %d, lost %d; "
       "started %d terms %d\n",
       name, it.ok, it.unavailable, it.refused, it.no_queue, it.invalid,
-      it.unknown, it.unanswered, it.not_accepted, it.taken, it.lost, it.started,
-      static_cast<int>(it.terms));
+      it.unknown, it.unanswered, it.not_accepted, it.accepted, it.lost,
+      it.started, static_cast<int>(it.terms));
 }
 
 }  // namespace
@@ -66,10 +66,11 @@
     answer_counts of_row;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
       refused::promise_world world(seed, it);
-      const std::string wrong = world.run(fault_time);
+      const std::string violation = world.run(fault_time);
       add(of_row, world.count());
-      const std::string where = str_cat(it.name, ", seed ", seed, ": ", wrong);
-      CHECK_TEXT(wrong.empty(), where.c_str());
+      const std::string where =
+          str_cat(it.name, ", seed ", seed, ": ", violation);
+      CHECK_TEXT(violation.empty(), where.c_str());
     }
     print(it.name, of_row);
     CHECK_TRUE(of_row.ok > 0 && of_row.refused > 0 && of_row.started > 0);
@@ -77,5 +78,5 @@
   }
   // Every kind of answer must occur, and unclear answers with both outcomes.
   CHECK_TRUE(all.unavailable > 0 && all.no_queue > 0 && all.invalid > 0);
-  CHECK_TRUE(all.unknown > 0 && all.taken > 0 && all.lost > 0);
+  CHECK_TRUE(all.unknown > 0 && all.accepted > 0 && all.lost > 0);
 }
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -22,7 +22,7 @@
 constexpr milliseconds lease_time{650};
 /// Log entries after which a snapshot is taken.
 constexpr uint64_t snapshot_entries = 40;
-constexpr uint64_t most_tasks = 25;
+constexpr uint64_t max_tasks = 25;
 
 /// A replica that can crash or pause, and whose disk can be slow or full.
 class control_box final : public replica_host,
@@ -41,7 +41,7 @@
 
   void start() {
     controller_settings settings = test_world::make_settings();
-    settings.most_tasks = most_tasks;
+    settings.most_tasks = max_tasks;
     lease_ = std::make_unique<leader_lease>(lease_time);
     controller_ =
         std::make_unique<fleet_controller>(settings, clock_, *this, metrics_);
@@ -137,8 +137,8 @@
 
   time_point paused_until{};
   time_point full_until{};
-  time_point receive_blocked_until{};
-  time_point send_blocked_until{};
+  time_point no_receive_until{};
+  time_point no_send_until{};
   /// One of this many writes is slow.
   uint64_t slow_one_in = 1'000'000;
 
--- a/fleet/refused-test-world.h
+++ b/fleet/refused-test-world.h
@@ -28,7 +28,7 @@
 struct faults {
   const char* name;
   unsigned lose = 0;
-  unsigned held = 0;
+  unsigned pause = 0;
   unsigned cut = 0;
   unsigned crash = 0;
   unsigned full = 0;
@@ -46,7 +46,7 @@
   int unknown = 0;
   int unanswered = 0;
   // Jobs with unclear answers: in the books, or not.
-  int taken = 0;
+  int accepted = 0;
   int lost = 0;
   // Jobs that were answered "not accepted" at every attempt.
   int not_accepted = 0;
@@ -77,14 +77,14 @@
     const time_point end = clock_.now() + length;
     while (clock_.now() < end) step(true);
     for (const auto& it : boxes_) {
-      it->paused_until = it->full_until = it->receive_blocked_until =
-          it->send_blocked_until = {};
+      it->paused_until = it->full_until = it->no_receive_until =
+          it->no_send_until = {};
       it->slow_one_in = 1'000'000;
     }
     faults_ = {};
-    const time_point calm = clock_.now() + recovery_time;
-    while (clock_.now() < calm) {
-      configures_ = clock_.now() < calm - no_config_time;
+    const time_point recovery_end = clock_.now() + recovery_time;
+    while (clock_.now() < recovery_end) {
+      configures_ = clock_.now() < recovery_end - no_config_time;
       step(false);
     }
     return check_promises();
@@ -111,10 +111,10 @@
   };
   struct worker {
     fleet::worker_beat beat;
-    std::map<std::string, time_point> began;
+    std::map<std::string, time_point> start_times;
     uint64_t ends = 0;
-    uint64_t out = 0;
-    time_point called{};
+    uint64_t pending = 0;
+    time_point heartbeat_sent{};
   };
 
   bool one_in(unsigned n) { return n > 0 && random_.below(n) == 0; }
@@ -128,7 +128,7 @@
 
   void post(const proto::raft_message& m) {
     control_box& from = *boxes_[index_of(m.from())];
-    if (clock_.now() < from.send_blocked_until || one_in(faults_.lose)) return;
+    if (clock_.now() < from.no_send_until || one_in(faults_.lose)) return;
     const milliseconds late = one_in(60) ? up_to(300) : up_to(8);
     raft_deliveries_.push_back({clock_.now() + late, index_of(m.to()), m});
   }
@@ -139,8 +139,7 @@
       const control_box& to = *boxes_[it.to];
       if (to.up() && !to.is_running()) return false;
       if (it.arrives > clock_.now()) return false;
-      if (to.up() && clock_.now() >= to.receive_blocked_until)
-        due.push_back(it);
+      if (to.up() && clock_.now() >= to.no_receive_until) due.push_back(it);
       return true;
     });
     for (const raft_delivery& it : due) {
@@ -160,9 +159,9 @@
   void inject_faults() {
     control_box& it = any_box();
     const time_point now = clock_.now();
-    if (one_in(faults_.held)) it.paused_until = now + up_to(2'500);
-    if (one_in(faults_.cut)) it.receive_blocked_until = now + up_to(3'000);
-    if (one_in(faults_.cut)) it.send_blocked_until = now + up_to(3'000);
+    if (one_in(faults_.pause)) it.paused_until = now + up_to(2'500);
+    if (one_in(faults_.cut)) it.no_receive_until = now + up_to(3'000);
+    if (one_in(faults_.cut)) it.no_send_until = now + up_to(3'000);
     if (one_in(faults_.full)) it.full_until = now + up_to(2'000);
     if (one_in(faults_.transfer_leadership) && it.is_running())
       it.transfer_leadership();
@@ -185,7 +184,7 @@
     if (callers && one_in(3)) submit();
     if (callers && one_in(4)) cancel();
     if (configures_ && (one_in(150) || configs_.empty())) configure(callers);
-    for (worker& it : workers_) call(it);
+    for (worker& it : workers_) send_heartbeat(it);
   }
 
   /// Sends a request to a random box. A paused box handles it later; a crashed
@@ -200,9 +199,9 @@
     control_box& it = *boxes_[call.to];
     if (!it.up()) return;
     const std::string& leader = it.state().leader();
-    const bool here =
+    const bool handled_here =
         it.leads() || call.relayed || leader.empty() || leader == it.name();
-    if (here) return it.request(call.request, call.respond);
+    if (handled_here) return it.request(call.request, call.respond);
     const auto to = index_of(leader);
     calls_.push_back(
         {clock_.now() + up_to(8), to, true, call.request, call.respond});
@@ -255,13 +254,14 @@
     });
   }
 
-  void call(worker& it) {
+  void send_heartbeat(worker& it) {
     const time_point now = clock_.now();
-    if (now - it.called < milliseconds(it.out > 0 ? 900 : 200)) return;
+    if (now - it.heartbeat_sent < milliseconds(it.pending > 0 ? 900 : 200))
+      return;
     for (auto row = it.beat.mutable_running()->begin();
          row != it.beat.mutable_running()->end();) {
       const std::string key = to_text(to_key(row->task()));
-      if (now - it.began[key] < milliseconds(300)) {
+      if (now - it.start_times[key] < milliseconds(300)) {
         ++row;
         continue;
       }
@@ -272,26 +272,26 @@
       end.set_outcome(fleet::run_done);
       row = it.beat.mutable_running()->erase(row);
     }
-    it.called = now;
+    it.heartbeat_sent = now;
     it.beat.set_pool("pool");
     it.beat.set_address(it.beat.worker() + ":1");
     it.beat.set_cpu_milli(4'000);
     it.beat.set_memory_mb(1'000);
     it.beat.set_sequence(it.beat.sequence() + 1);
     it.beat.set_clock_ms(static_cast<uint64_t>(now.count()));
-    it.out = it.beat.sequence();
+    it.pending = it.beat.sequence();
     for (const auto& box : boxes_) {
       if (!box->is_running() || !box->leads()) continue;
       fleet::fleet_request request;
       *request.mutable_beat() = it.beat;
-      box->request(request, [this, &it, n = it.out](const auto& response) {
-        if (it.out == n) take(it, response.orders());
+      box->request(request, [this, &it, n = it.pending](const auto& response) {
+        if (it.pending == n) take(it, response.orders());
       });
     }
   }
 
   void take(worker& it, const fleet::worker_orders& orders) {
-    it.out = 0;
+    it.pending = 0;
     if (orders.hold_ms() == 0) return;
     std::vector<fleet::run_end> rest;
     for (const fleet::run_end& end : it.beat.ended()) {
@@ -302,7 +302,7 @@
       fleet::running_row& row = *it.beat.add_running();
       *row.mutable_task() = start.task();
       row.set_run(start.run());
-      it.began[to_text(to_key(start.task()))] = clock_.now();
+      it.start_times[to_text(to_key(start.task()))] = clock_.now();
       started_.insert(to_key(start.task()).job);
       ++counts_.started;
     }
@@ -333,28 +333,27 @@
   /// Checks that the version in force was not answered as refused, and that no
   /// later version was answered as accepted.
   std::string check_configs() const {
-    const uint64_t held = boxes_[0]->controller().book().config().version();
+    const uint64_t in_force = boxes_[0]->controller().book().config().version();
     for (const auto& box : boxes_) {
-      if (box->controller().book().config().version() != held) {
+      if (box->controller().book().config().version() != in_force) {
         return "configurations differ";
       }
     }
-    const auto told = configs_.find(held);
-    if (told != configs_.end() && says_not_accepted(told->second)) {
-      return str_cat("configuration ", held,
-                     " in force though answered as refused");
+    const auto answer = configs_.find(in_force);
+    if (answer != configs_.end() && says_not_accepted(answer->second)) {
+      return str_cat("configuration ", in_force, " in force though refused");
     }
     const auto last = std::find_if(
         configs_.rbegin(), configs_.rend(),
         [](const auto& it) { return it.second == fleet::fleet_ok; });
-    const bool lost = last != configs_.rend() && last->first > held;
+    const bool lost = last != configs_.rend() && last->first > in_force;
     return lost ? str_cat("configuration ", last->first,
-                          " missing though answered as accepted")
+                          " missing though accepted")
                 : "";
   }
 
   std::string check_promises() {
-    std::string wrong = check_configs();
+    std::string violation = check_configs();
     for (const auto& box : boxes_) {
       counts_.terms = std::max(counts_.terms, box->state().term());
     }
@@ -371,17 +370,16 @@
       for (const auto& box : boxes_) {
         if (box->controller().book().find(job_number(job))) ++holders;
       }
-      if (!ok && !not_accepted) ++(holders > 0 ? counts_.taken : counts_.lost);
+      if (!ok && !not_accepted)
+        ++(holders > 0 ? counts_.accepted : counts_.lost);
       const bool ran = started_.contains(job_number(job));
-      const std::string who = str_cat("job ", job, " held by ", holders);
-      if (not_accepted && holders > 0)
-        wrong = who + " though answered as not accepted";
-      if (not_accepted && ran)
-        wrong = who + " ran though answered as not accepted";
-      if (ok && holders < boxes) wrong = who + " though answered as accepted";
-      if (holders % boxes != 0) wrong = who + " but not by all boxes";
+      const std::string name = str_cat("job ", job, " held by ", holders);
+      if (not_accepted && holders > 0) violation = name + " though refused";
+      if (not_accepted && ran) violation = name + " ran though refused";
+      if (ok && holders < boxes) violation = name + " though accepted";
+      if (holders % boxes != 0) violation = name + " but not by all boxes";
     }
-    return wrong;
+    return violation;
   }
 
   seeded_random random_;
--- a/fleet/shrinking-room-test.cc
+++ b/fleet/shrinking-room-test.cc
@@ -257,14 +257,14 @@
       LONGS_EQUAL_TEXT(2, worker.beat().running_size(), name.c_str());
       shrink_around_leader_change(all, worker, c);
       submit(all, 3, 4);
-      const int room = static_cast<int>(c.cpu_milli / 1'000);
+      const int processors = static_cast<int>(c.cpu_milli / 1'000);
       for (int i = 0; i < 40; ++i) {
         worker.send_heartbeat();
-        CHECK_TRUE_TEXT(worker.beat().running_size() <= std::max(room, 2),
+        CHECK_TRUE_TEXT(worker.beat().running_size() <= std::max(processors, 2),
                         name.c_str());
         all.pass(heartbeat_interval);
       }
-      LONGS_EQUAL_TEXT(std::max(room, 2), worker.beat().running_size(),
+      LONGS_EQUAL_TEXT(std::max(processors, 2), worker.beat().running_size(),
                        name.c_str());
       worker.set_cpu(4'000);
       worker.send_heartbeats_for(milliseconds(1'000));
--- a/fleet/slow-test-world.h
+++ b/fleet/slow-test-world.h
@@ -124,8 +124,8 @@
     }
     if (happens(faults_.election) && leader_ >= 0) {
       // A random prefix of the pending proposals is committed.
-      const size_t kept = draws_.draw(proposals_.size() + 1);
-      for (size_t i = 0; i < kept; ++i) {
+      const size_t committed = draws_.draw(proposals_.size() + 1);
+      for (size_t i = 0; i < committed; ++i) {
         committed_.push_back(proposals_[i].command);
       }
       proposals_.clear();
@@ -179,15 +179,15 @@
   }
 
   void read_heartbeats(box& it) {
-    size_t most = 20;
-    if (faults_.slow_read > 0) most = draws_.draw(faults_.slow_read);
+    size_t max_reads = 20;
+    if (faults_.slow_read > 0) max_reads = draws_.draw(faults_.slow_read);
     std::vector<heartbeat> rest;
     for (heartbeat& h : it.inbox) {
-      if (h.arrives > clock_.now() || most == 0) {
+      if (h.arrives > clock_.now() || max_reads == 0) {
         rest.push_back(std::move(h));
         continue;
       }
-      --most;
+      --max_reads;
       const auto respond = [this, id = h.incarnation,
                             n = h.beat.sequence()](fleet::fleet_response r) {
         if (left_leases_.contains(id)) drop_ended(id, r.orders().last_end());
@@ -304,10 +304,11 @@
   /// Without other faults, an end in a heartbeat that was not delayed must be
   /// counted, even if the worker is gone before the acknowledgement.
   void require_listed_ends(const simulated_worker& it, time_point arrives) {
-    const bool calm = faults_.stall + faults_.election + faults_.crash +
-                          faults_.slow_read + faults_.cut ==
-                      0;
-    if (calm && arrives - clock_.now() <= normal_delay) ends_.require(it.id);
+    const bool no_faults = faults_.stall + faults_.election + faults_.crash +
+                               faults_.slow_read + faults_.cut ==
+                           0;
+    if (no_faults && arrives - clock_.now() <= normal_delay)
+      ends_.require(it.id);
   }
 
   void deliver() {
@@ -319,14 +320,13 @@
       }
       for (simulated_worker& m : workers_) {
         if (clock_.now() < m.cut_until) continue;
-        if (m.id == it.worker && m.pending == it.sequence)
-          handle_answer(m, it.orders);
+        if (m.id == it.worker && m.pending == it.sequence) handle(m, it.orders);
       }
     }
     answers_ = std::move(rest);
   }
 
-  void handle_answer(simulated_worker& it, const fleet::worker_orders& orders) {
+  void handle(simulated_worker& it, const fleet::worker_orders& orders) {
     it.pending = 0;
     it.next_call = clock_.now() + heartbeat_interval;
     if (clock_.now() - it.sent >= answer_limit) return;
