--- a/fleet/busy-leader-far-behind-test.cc
+++ b/fleet/busy-leader-far-behind-test.cc
@@ -1,5 +1,5 @@
 // A leader that can answer each worker only every 1.6 s at best. A heartbeat
-// that is answered too late costs its worker two intervals.
+// that is answered too late costs its worker two such rounds.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/busy-leader-test-rows.h"
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -186,7 +186,7 @@
 };
 
 std::vector<cancel_case> all_cases() {
-  const std::pair<const char*, issuer> starters[] = {
+  const std::pair<const char*, issuer> issuers[] = {
       {"ordered by this leader", issuer::current_leader},
       {"ordered by the previous leader", issuer::previous_leader},
       {"ordered in an earlier term", issuer::same_leader_earlier_term}};
@@ -203,7 +203,7 @@
       {", first stop lost with its leader",
        first_stop_delivery::dropped_with_leader}};
   std::vector<cancel_case> all;
-  for (const auto& [by, issued_by] : starters) {
+  for (const auto& [by, issued_by] : issuers) {
     for (const auto& [at, when] : times) {
       for (const heartbeat_route route :
            {heartbeat_route::direct, heartbeat_route::intake}) {
--- a/fleet/crashing-issuer-test.cc
+++ b/fleet/crashing-issuer-test.cc
@@ -26,10 +26,10 @@
   crash_settings settings;
 };
 
-crash_settings make_issuer_failures(int givers, int64_t after_ms,
+crash_settings make_issuer_failures(int leaders, int64_t after_ms,
                                     int64_t crashes_after_ms) {
   crash_settings out;
-  out.failing_issuers = givers;
+  out.failing_issuers = leaders;
   out.issuer_failure_delay = milliseconds(after_ms);
   out.crash_delay = milliseconds(crashes_after_ms);
   return out;
--- a/fleet/crashing-task-test.cc
+++ b/fleet/crashing-task-test.cc
@@ -108,8 +108,8 @@
   }
 }
 
-// A crash frees a worker, which then gets the pending tasks. The runs that it
-// lost must not start beside the crashing task again.
+// A crash empties a worker, which then gets the pending tasks. Tasks lost in
+// one crash must not be placed beside the crashing task again.
 TEST(crashing_task, tasks_lost_in_a_crash_are_not_lost_again) {
   constexpr uint64_t first = 100;
   constexpr uint64_t jobs = 47;
--- a/fleet/fleet-cost-test-parts.h
+++ b/fleet/fleet-cost-test-parts.h
@@ -24,15 +24,15 @@
 
 /// Returns the scenario of a fleet of `workers`; jobs grow in proportion.
 inline scenario make_fleet(int workers) {
-  constexpr double jobs_per_s_a_worker = 34.0 / 6'000;
+  constexpr double jobs_per_s_per_worker = 34.0 / 6'000;
   constexpr uint32_t wide = 50;
-  constexpr int workers_a_box = 600;
+  constexpr int workers_per_box = 600;
   scenario it{"fleet", workers, {}};
-  it.jobs_per_s = jobs_per_s_a_worker * workers;
+  it.jobs_per_s = jobs_per_s_per_worker * workers;
   it.tasks_per_job = wide;
   // The leader's work takes no time on the virtual clock.
   it.processor_share = 1e9;
-  it.intake_boxes = std::max(4, workers / workers_a_box);
+  it.intake_boxes = std::max(4, workers / workers_per_box);
   it.first_call_spread = cost_start;
   return it;
 }
--- a/fleet/innocent-crash-test.cc
+++ b/fleet/innocent-crash-test.cc
@@ -94,13 +94,13 @@
 
 TEST(innocent_crash, no_harmless_job_fails) {
   constexpr uint64_t rounds = 12;
-  constexpr uint64_t jobs_a_round = 14;
+  constexpr uint64_t jobs_per_round = 14;
   for (const row& it : rows()) {
     crash_world world(it.settings);
     world.submit(long_running_job, {crash_world::make_step(6, true)});
     uint64_t job = first_job;
     for (uint64_t n = 0; n < rounds; ++n) {
-      for (uint64_t i = 0; i < jobs_a_round; ++i) {
+      for (uint64_t i = 0; i < jobs_per_round; ++i) {
         world.submit(job++, {crash_world::make_step(2)});
         world.run_for(job_pause);
       }
@@ -141,7 +141,7 @@
 
 /// Evidence against the jobs a and b after a crash of the worker that runs
 /// both.
-struct weighing {
+struct evidence_case {
   const char* name;
   bool a_listed;
   int64_t a_age_ms;
@@ -152,7 +152,7 @@
   uint32_t against_b;
 };
 
-const weighing weighings[] = {
+const evidence_case evidence_cases[] = {
     {"both just started", false, 0, false, 0, false, evidence_in_company,
      evidence_in_company},
     {"one just started", false, 0, true, 400, false, evidence_as_only_cause, 0},
@@ -169,7 +169,7 @@
 
 TEST(innocent_crash, evidence_is_against_possible_causes_only) {
   constexpr uint64_t a = 7, b = 8;
-  for (const weighing& it : weighings) {
+  for (const evidence_case& it : evidence_cases) {
     test_world world;
     world.configure();
     world.submit(a, {test_world::make_step(1)});
--- a/fleet/over-life-test.cc
+++ b/fleet/over-life-test.cc
@@ -37,9 +37,9 @@
     request.set_worker_leaves(worker);
     world.ask(request);
   }
-  /// Sends three heartbeats of another incarnation, `own_apart` ms apart by its
-  /// own clock, while the incarnation with a run is silent.
-  void call_beside_a_run(int64_t own_apart) {
+  /// Sends three heartbeats of another incarnation, `clock_step_ms` apart by
+  /// its own clock, while the incarnation with a run is silent.
+  void send_heartbeats_beside_silent_run(int64_t clock_step_ms) {
     world.configure();
     send_heartbeat("live", 5'000);
     world.submit(7, {test_world::make_step(1)});
@@ -47,7 +47,7 @@
     LONGS_EQUAL(1, runs_at("live"));
     world.pass(milliseconds(300));
     for (int i = 0; i < 3; ++i) {
-      send_heartbeat("other", 900'000 + own_apart * i);
+      send_heartbeat("other", 900'000 + clock_step_ms * i);
       world.pass(milliseconds(900));
     }
   }
@@ -67,11 +67,11 @@
   send_heartbeat("earlier", earlier + 1'000);
   world.pass(milliseconds(900));
   int64_t at = 0;
-  constexpr int64_t soon = 1'200;
+  constexpr int64_t max_rejoin_ms = 1'200;
   while (send_heartbeat("live", live + 2'200 + at).orders().hold_ms() == 0) {
     at += 300;
     world.pass(milliseconds(300));
-    CHECK_TRUE(at <= soon);
+    CHECK_TRUE(at <= max_rejoin_ms);
   }
 }
 
@@ -79,13 +79,13 @@
 // without an answer, were taken for a new incarnation.
 TEST(over_life, unanswered_heartbeats_end_no_incarnation_at_their_address) {
   constexpr int64_t answer_limit = 1'000;
-  call_beside_a_run(answer_limit);
+  send_heartbeats_beside_silent_run(answer_limit);
   LONGS_EQUAL(1, runs_at("live"));
 }
 
 TEST(over_life, answered_heartbeats_end_the_earlier_incarnation) {
-  constexpr int64_t sooner = 900;
-  call_beside_a_run(sooner);
+  constexpr int64_t answered_in_time_ms = 900;
+  send_heartbeats_beside_silent_run(answered_in_time_ms);
   LONGS_EQUAL(0, runs_at("live"));
 }
 
@@ -98,7 +98,7 @@
   struct row {
     const char* name;
     milliseconds apart;
-    int64_t own_apart;
+    int64_t clock_step_ms;
   };
   const row rows[] = {{"all at once", milliseconds(0), 500},
                       {"the same one repeatedly", milliseconds(500), 0}};
@@ -106,7 +106,7 @@
     int64_t own = 6'000;
     for (int i = 0; i < 5; ++i) {
       LONGS_EQUAL_TEXT(0, send_heartbeat("a", own).orders().hold_ms(), it.name);
-      own += it.own_apart;
+      own += it.clock_step_ms;
       world.pass(it.apart);
     }
     LONGS_EQUAL_TEXT(0, runs_at("a"), it.name);
--- a/fleet/placed-in-vain-test.cc
+++ b/fleet/placed-in-vain-test.cc
@@ -1,5 +1,5 @@
-// Guards against starts that are withdrawn before the worker's next heartbeat,
-// repeatedly, so that an interrupted task never starts.
+// Guards against starts that are withdrawn before the worker's next heartbeat
+// again and again.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
--- a/fleet/refused-test-world.h
+++ b/fleet/refused-test-world.h
@@ -1,6 +1,5 @@
-// Simulates control boxes with real logs on a virtual clock, callers of any of
-// them, and workers. All answers are recorded; after the faults have ended, the
-// job books are checked against the answers.
+// Simulates control boxes with real logs, callers and workers on a virtual
+// clock. After the faults, the job books are checked against all answers.
 #pragma once
 
 #include <algorithm>
@@ -54,7 +53,6 @@
   uint64_t terms = 0;
 };
 
-/// Runs callers, workers and control boxes under seeded faults.
 class promise_world {
  public:
   promise_world(uint64_t seed, faults f) : random_(seed), faults_(f) {
@@ -93,7 +91,7 @@
   const answer_counts& count() const { return counts_; }
 
  private:
-  struct raft_delivery {
+  struct delivery {
     time_point arrives;
     int to;
     proto::raft_message m;
@@ -130,19 +128,19 @@
     control_box& from = *boxes_[index_of(m.from())];
     if (clock_.now() < from.no_send_until || one_in(faults_.lose)) return;
     const milliseconds late = one_in(60) ? up_to(300) : up_to(8);
-    raft_deliveries_.push_back({clock_.now() + late, index_of(m.to()), m});
+    deliveries_.push_back({clock_.now() + late, index_of(m.to()), m});
   }
 
   void deliver() {
-    std::vector<raft_delivery> due;
-    std::erase_if(raft_deliveries_, [&](raft_delivery& it) {
+    std::vector<delivery> due;
+    std::erase_if(deliveries_, [&](delivery& it) {
       const control_box& to = *boxes_[it.to];
       if (to.up() && !to.is_running()) return false;
       if (it.arrives > clock_.now()) return false;
       if (to.up() && clock_.now() >= to.no_receive_until) due.push_back(it);
       return true;
     });
-    for (const raft_delivery& it : due) {
+    for (const delivery& it : due) {
       if (boxes_[it.to]->up()) boxes_[it.to]->receive(it.m);
     }
     std::vector<relayed_call> calls;
@@ -387,7 +385,7 @@
   test_clock clock_;
   std::vector<std::unique_ptr<control_box>> boxes_;
   std::deque<worker> workers_;
-  std::vector<raft_delivery> raft_deliveries_;
+  std::vector<delivery> deliveries_;
   std::vector<relayed_call> calls_;
   std::map<uint64_t, job_record> jobs_;
   std::set<job_number> started_;
--- a/fleet/restarted-worker-test.cc
+++ b/fleet/restarted-worker-test.cc
@@ -4,15 +4,15 @@
 // Guards against two failures. First, a worker was cut off, crashed and sent
 // heartbeats again 0.6 s later. They were taken for overtaken ones of the
 // earlier incarnation because of their lower sequence numbers; the leader
-// declared the worker lost 7.3 s after its return ("runs-over ...
-// silent-ms=7337"), and 17 of 48 workers were idle while long-running tasks
-// waited ("lasting-waits workers=31 fit=0"). Second, after a restart of all
-// control boxes the log still held the number of ends of the earlier
-// incarnation, so that the new leader acknowledged an end that the worker had
-// not reported yet ("ends-acknowledged ... sequence=18 last=1"). The worker's
-// first success, number 1, was then ignored as already reported, its run was
-// ordered again and refused ("outcome=run_refused"), and the task was started
-// once more on another worker.
+// declared the worker lost 7.3 s after its return ("runs-over ... cause="lease
+// over or never begun" silent-ms=7337"), and 17 of 48 workers were idle while
+// long-running tasks waited ("lasting-waits workers=31 fit=0"). Second, after a
+// restart of all control boxes the log still held the number of ends of the
+// earlier incarnation, so that the new leader acknowledged an end that the
+// worker had not reported yet ("ends-acknowledged ... sequence=18 last=1"). The
+// worker's first success, number 1, was then ignored as already reported, its
+// run was ordered again and refused ("outcome=run_refused"), and the task was
+// started once more on another worker.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/restarted-test-world.h"
