--- a/fleet/busy-leader-test-parts.h
+++ b/fleet/busy-leader-test-parts.h
@@ -31,8 +31,8 @@
 /// while there is free capacity for it.
 constexpr milliseconds max_downtime{9'000};
 /// Longest time from the commit of a start to its arrival at the worker: one
-/// heartbeat timeout, plus a quarter of it for the network. A later order
-/// reserves capacity for nothing.
+/// heartbeat timeout, plus a quarter of it for the network. Capacity that is
+/// reserved for a later order is wasted.
 constexpr milliseconds max_order_lag{1'250};
 
 /// Cost of each kind of work of the leader, in microseconds.
--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -25,15 +25,15 @@
       boxes_.push_back(std::make_unique<intake_box>(clock_, metrics_));
     }
     for (int i = 0; i < it.workers; ++i) {
-      busy_worker& c = workers_.emplace_back();
-      c.state.id = c.state.name = "w" + std::to_string(i);
-      c.state.address = c.state.id + ":1";
-      c.state.born = clock_.now();
-      c.state.born_ms = slow::start_unix_ms;
-      c.state.lease = clock_.now();
-      c.state.next_call =
+      busy_worker& worker = workers_.emplace_back();
+      worker.state.id = worker.state.name = "w" + std::to_string(i);
+      worker.state.address = worker.state.id + ":1";
+      worker.state.born = clock_.now();
+      worker.state.born_ms = slow::start_unix_ms;
+      worker.state.lease = clock_.now();
+      worker.state.next_call =
           clock_.now() + milliseconds(i % it.first_call_spread.count());
-      c.box = i % it.intake_boxes;
+      worker.box = i % it.intake_boxes;
     }
     leader_.leads(true);
     fleet::fleet_request request;
@@ -104,10 +104,10 @@
   }
   /// Interrupts the first `n` workers that run long-running tasks.
   void interrupt_long_running(int n, interruption how) {
-    for (busy_worker* c : workers_with_long_running(workers_, n)) {
-      c->lost = how != interruption::fail;
-      if (how == interruption::leave) ask(make_leave(c->state));
-      if (how == interruption::fail) end_all(*c, fleet::run_failed);
+    for (busy_worker* worker : workers_with_long_running(workers_, n)) {
+      worker->lost = how != interruption::fail;
+      if (how == interruption::leave) ask(make_leave(worker->state));
+      if (how == interruption::fail) end_all(*worker, fleet::run_failed);
     }
   }
 
@@ -240,14 +240,14 @@
   }
 
   void record_read(const fleet::worker_beat& beat) {
-    busy_worker& c = workers_[std::stoul(beat.worker().substr(1))];
-    if (c.lost || beat.sequence() <= c.read) return;
-    if (c.read > 0) {
+    busy_worker& worker = workers_[std::stoul(beat.worker().substr(1))];
+    if (worker.lost || beat.sequence() <= worker.read) return;
+    if (worker.read > 0) {
       out_.longest_read_gap =
-          std::max(out_.longest_read_gap, clock_.now() - c.read_at);
+          std::max(out_.longest_read_gap, clock_.now() - worker.read_at);
     }
-    c.read = beat.sequence();
-    c.read_at = clock_.now();
+    worker.read = beat.sequence();
+    worker.read_at = clock_.now();
   }
 
   /// Runs `work` and returns its cost in microseconds: from the leader's
@@ -290,57 +290,60 @@
   }
 
   void advance_worker(size_t i) {
-    busy_worker& c = workers_[i];
+    busy_worker& worker = workers_[i];
     const time_point now = clock_.now();
-    if (c.lost) return c.lapsed ? void() : drop_runs(c);
-    for (auto run = c.state.runs.begin(); run != c.state.runs.end();) {
+    if (worker.lost) return worker.lapsed ? void() : drop_runs(worker);
+    for (auto run = worker.state.runs.begin();
+         run != worker.state.runs.end();) {
       const auto next = std::next(run);
-      if (now >= run->second) end_run(c, run->first, fleet::run_done);
+      if (now >= run->second) end_run(worker, run->first, fleet::run_done);
       run = next;
     }
-    if (now >= c.state.lease) expire_lease(c);
-    if (c.state.pending != 0 && now - c.state.sent >= answer_limit)
-      try_next_box(c);
-    if (c.state.pending == 0 && now >= c.state.next_call) send_heartbeat(i);
+    if (now >= worker.state.lease) expire_lease(worker);
+    if (worker.state.pending != 0 && now - worker.state.sent >= answer_limit)
+      try_next_box(worker);
+    if (worker.state.pending == 0 && now >= worker.state.next_call)
+      send_heartbeat(i);
   }
 
-  void drop_runs(busy_worker& c) {
-    c.lapsed = true;
-    for (const auto& [run, ends] : c.state.runs) record_interruption(run.task);
-    c.state.runs.clear();
+  void drop_runs(busy_worker& worker) {
+    worker.lapsed = true;
+    for (const auto& [run, ends] : worker.state.runs)
+      record_interruption(run.task);
+    worker.state.runs.clear();
   }
 
-  void expire_lease(busy_worker& c) {
-    out_.lapsed += static_cast<int>(c.state.runs.size());
-    end_all(c, fleet::run_lapsed);
-    ends_.expire_lease(c.state.id);
+  void expire_lease(busy_worker& worker) {
+    out_.lapsed += static_cast<int>(worker.state.runs.size());
+    end_all(worker, fleet::run_lapsed);
+    ends_.expire_lease(worker.state.id);
   }
 
-  void end_all(busy_worker& c, fleet::run_outcome outcome) {
-    const auto runs = c.state.runs;
-    for (const auto& [run, ends] : runs) end_run(c, run, outcome);
+  void end_all(busy_worker& worker, fleet::run_outcome outcome) {
+    const auto runs = worker.state.runs;
+    for (const auto& [run, ends] : runs) end_run(worker, run, outcome);
   }
 
-  void try_next_box(busy_worker& c) {
-    c.state.pending = 0;
-    c.box = (c.box + 1) % scenario_.intake_boxes;
-    c.state.next_call = clock_.now();
+  void try_next_box(busy_worker& worker) {
+    worker.state.pending = 0;
+    worker.box = (worker.box + 1) % scenario_.intake_boxes;
+    worker.state.next_call = clock_.now();
   }
 
-  void end_run(busy_worker& c, run_key run, fleet::run_outcome outcome) {
-    c.state.runs.erase(run);
-    fleet::run_end& end = c.state.ended.emplace_back();
-    end.set_number(++c.state.end_number);
+  void end_run(busy_worker& worker, run_key run, fleet::run_outcome outcome) {
+    worker.state.runs.erase(run);
+    fleet::run_end& end = worker.state.ended.emplace_back();
+    end.set_number(++worker.state.end_number);
     *end.mutable_task() = to_ref(run.task);
     end.set_run(static_cast<uint32_t>(run.run.value()));
     end.set_outcome(outcome);
-    c.state.next_call =
-        std::min(c.state.next_call, clock_.now() + call_delay_after_end);
+    worker.state.next_call =
+        std::min(worker.state.next_call, clock_.now() + call_delay_after_end);
     record_interruption(run.task);
     if (outcome != fleet::run_done) return;
     ++out_.done;
     done_.insert(run.task);
-    ends_.add(run.task, {c.state.id, end.number(), clock_.now()});
+    ends_.add(run.task, {worker.state.id, end.number(), clock_.now()});
   }
 
   void send_heartbeat(size_t i) {
@@ -355,17 +358,18 @@
   }
 
   void handle(reply& answer) {
-    busy_worker& c = workers_[answer.worker];
-    simulated_worker& it = c.state;
-    if (c.lost || it.pending != answer.sequence) return;
-    if (answer.response.status() != fleet::fleet_ok) return try_next_box(c);
+    busy_worker& worker = workers_[answer.worker];
+    simulated_worker& it = worker.state;
+    if (worker.lost || it.pending != answer.sequence) return;
+    if (answer.response.status() != fleet::fleet_ok)
+      return try_next_box(worker);
     const fleet::worker_orders& orders = answer.response.orders();
     it.pending = 0;
     const milliseconds pause(static_cast<int64_t>(orders.next_beat_ms()));
     it.next_call = clock_.now() + std::max(pause, call_delay_after_end);
     if (orders.hold_ms() == 0) return;
     if (scenario_.returns_to_first_box) {
-      c.box = static_cast<int>(answer.worker) % scenario_.intake_boxes;
+      worker.box = static_cast<int>(answer.worker) % scenario_.intake_boxes;
     }
     it.lease = std::max(
         it.lease,
@@ -377,13 +381,13 @@
     for (const auto& stop : orders.stops()) {
       const run_key run{to_key(stop.task()), run_number(stop.run())};
       it.highest[run.task] = std::max(it.highest[run.task], run.run);
-      if (it.runs.contains(run)) end_run(c, run, fleet::run_stopped);
+      if (it.runs.contains(run)) end_run(worker, run, fleet::run_stopped);
     }
-    for (const auto& start : orders.starts()) start_run(c, start);
+    for (const auto& start : orders.starts()) start_run(worker, start);
   }
 
-  void start_run(busy_worker& c, const fleet::start_order& start) {
-    simulated_worker& it = c.state;
+  void start_run(busy_worker& worker, const fleet::start_order& start) {
+    simulated_worker& it = worker.state;
     const run_key run{to_key(start.task()), run_number(start.run())};
     if (run.run <= it.highest[run.task]) return;
     it.highest[run.task] = run.run;
--- a/fleet/busy-leader-test.cc
+++ b/fleet/busy-leader-test.cc
@@ -28,8 +28,8 @@
 }
 
 TEST(busy_leader, keeps_its_answer_rate_under_overload) {
-  // Counts the answers with up to twice as many workers as the leader can
-  // answer every 1.6 s.
+  // At 4 ms per answer the leader can answer at most `limit` workers every
+  // 1.6 s; the overload is twice as many workers.
   const auto answers = [](int workers) {
     busy::busy_world world({"overload", workers, {.answer = 4'000}});
     world.pass(milliseconds(10'000));
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -147,9 +147,9 @@
     }
     return "";
   }
-  /// Drops the stop order, and makes the same box the next leader at once: the
-  /// worker's next heartbeat tells the box only the difference to what the box
-  /// knew before.
+  /// Drops the stop order. In the case `dropped_with_leader` the same box also
+  /// becomes the next leader at once: the worker's next heartbeat tells the box
+  /// only the difference to what the box knew before.
   void drop_stop() {
     stop_dropped_ = true;
     if (case_.stop != first_stop_delivery::dropped_with_leader) return;
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -16,7 +16,7 @@
 /// Strictest limit of the users, from the acknowledgement of a cancel, or from
 /// a late start after it, until the run is told to stop.
 constexpr milliseconds max_cancel_delay{3'000};
-/// Strictest limit of the users for the stop itself.
+/// Strictest limit of the users from the order to stop a run until its end.
 constexpr milliseconds max_stop_time{900};
 constexpr milliseconds heartbeat_interval{200};
 /// An answer that takes longer is dropped.
--- a/fleet/over-life-test.cc
+++ b/fleet/over-life-test.cc
@@ -7,7 +7,8 @@
 // orders. The success of a run that was declared lost was acknowledged but not
 // counted, because a later run had been declared lost too. A worker that left
 // but still sent heartbeats kept a run whose start order it never got. The
-// remaining time in a heartbeat that took 0.8 s to arrive was already over.
+// remaining time that a draining worker reported was already over when the
+// heartbeat arrived, 0.8 s after it was sent.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/cancelled-test-world.h"
@@ -58,17 +59,19 @@
 
 TEST(over_life, live_incarnation_is_accepted_again) {
   world.configure();
-  constexpr int64_t live = 5'000;
-  constexpr int64_t earlier = 900'000;
-  send_heartbeat("live", live);
+  constexpr int64_t live_clock_ms = 5'000;
+  constexpr int64_t earlier_clock_ms = 900'000;
+  send_heartbeat("live", live_clock_ms);
   world.pass(milliseconds(300));
-  send_heartbeat("earlier", earlier);
+  send_heartbeat("earlier", earlier_clock_ms);
   world.pass(milliseconds(1'000));
-  send_heartbeat("earlier", earlier + 1'000);
+  send_heartbeat("earlier", earlier_clock_ms + 1'000);
   world.pass(milliseconds(900));
   int64_t at = 0;
   constexpr int64_t max_rejoin_ms = 1'200;
-  while (send_heartbeat("live", live + 2'200 + at).orders().hold_ms() == 0) {
+  while (
+      send_heartbeat("live", live_clock_ms + 2'200 + at).orders().hold_ms() ==
+      0) {
     at += 300;
     world.pass(milliseconds(300));
     CHECK_TRUE(at <= max_rejoin_ms);
@@ -78,8 +81,8 @@
 // Delayed heartbeats of the earlier incarnation, each of which had timed out
 // without an answer, were taken for a new incarnation.
 TEST(over_life, unanswered_heartbeats_end_no_incarnation_at_their_address) {
-  constexpr int64_t answer_limit = 1'000;
-  send_heartbeats_beside_silent_run(answer_limit);
+  constexpr int64_t answer_limit_ms = 1'000;
+  send_heartbeats_beside_silent_run(answer_limit_ms);
   LONGS_EQUAL(1, runs_at("live"));
 }
 
@@ -103,10 +106,11 @@
   const row rows[] = {{"all at once", milliseconds(0), 500},
                       {"the same one repeatedly", milliseconds(500), 0}};
   for (const row& it : rows) {
-    int64_t own = 6'000;
+    int64_t clock_ms = 6'000;
     for (int i = 0; i < 5; ++i) {
-      LONGS_EQUAL_TEXT(0, send_heartbeat("a", own).orders().hold_ms(), it.name);
-      own += it.clock_step_ms;
+      LONGS_EQUAL_TEXT(0, send_heartbeat("a", clock_ms).orders().hold_ms(),
+                       it.name);
+      clock_ms += it.clock_step_ms;
       world.pass(it.apart);
     }
     LONGS_EQUAL_TEXT(0, runs_at("a"), it.name);
--- a/fleet/restarted-test-world.h
+++ b/fleet/restarted-test-world.h
@@ -24,9 +24,9 @@
 /// One incarnation of the worker; carries out its orders.
 class incarnation {
  public:
-  incarnation(control_boxes& all, heartbeat_route route, uint64_t born,
+  incarnation(control_boxes& boxes, heartbeat_route route, uint64_t born,
               int64_t clock_ms)
-      : boxes_(all), route_(route), started_(all.clock.now()) {
+      : boxes_(boxes), route_(route), started_(boxes.clock.now()) {
     beat_.set_worker(id);
     beat_.set_born(born);
     beat_.set_pool("pool");
@@ -101,17 +101,17 @@
   uint64_t ends_ = 0;
 };
 
-inline void submit(control_boxes& all, uint64_t job, uint32_t tasks,
+inline void submit(control_boxes& boxes, uint64_t job, uint32_t tasks,
                    bool long_running = false) {
   fleet::step_spec step = test_world::make_step(tasks);
   step.set_long_running(long_running);
-  all.ask(test_world::make_submit(job, {step}));
+  boxes.ask(test_world::make_submit(job, {step}));
 }
 
-inline fleet::job_phase phase_of(control_boxes& all, uint64_t job) {
+inline fleet::job_phase phase_of(control_boxes& boxes, uint64_t job) {
   fleet::fleet_request request = test_world::make_call(job);
   request.mutable_job()->set_state(true);
-  return all.ask(request).phase();
+  return boxes.ask(request).phase();
 }
 
 /// How the second incarnation differs, and whether the leader changes.
@@ -119,8 +119,8 @@
   const char* name;
   heartbeat_route route;
   bool leader_changes;
-  // First reading of the second incarnation's clock; that of the first
-  // incarnation starts at 500,000.
+  // First reading of the second incarnation's clock, in milliseconds; the clock
+  // of the first incarnation starts at 500,000 ms.
   int64_t clock_ms;
 };
 
@@ -135,16 +135,16 @@
 
 /// Ends three runs of the first incarnation and has it run two more tasks, one
 /// of them long-running.
-inline void run_first_incarnation(control_boxes& all, incarnation& it) {
+inline void run_first_incarnation(control_boxes& boxes, incarnation& it) {
   it.send_heartbeats_for(milliseconds(1'000));
-  submit(all, 1, 3);
+  submit(boxes, 1, 3);
   it.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(3, it.runs_of(1));
   it.end_all();
   it.send_heartbeats_for(milliseconds(400));
-  LONGS_EQUAL(fleet::job_succeeded, phase_of(all, 1));
-  submit(all, 2, 1);
-  submit(all, 3, 1, true);
+  LONGS_EQUAL(fleet::job_succeeded, phase_of(boxes, 1));
+  submit(boxes, 2, 1);
+  submit(boxes, 3, 1, true);
   it.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(1, it.runs_of(2));
   LONGS_EQUAL(1, it.runs_of(3));
--- a/fleet/restarted-worker-test.cc
+++ b/fleet/restarted-worker-test.cc
@@ -36,14 +36,14 @@
 
 TEST(restarted_worker, is_used_at_once_and_its_tasks_are_started_again) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
-    if (it.leader_changes) all.elect(1);
-    all.pass(milliseconds(600));
-    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
+    if (it.leader_changes) boxes.elect(1);
+    boxes.pass(milliseconds(600));
+    incarnation second(boxes, it.route, second_start_ms, it.clock_ms);
     CHECK_TRUE_TEXT(second.send_heartbeat().hold_ms() > 0, it.name);
-    submit(all, 4, 1);
+    submit(boxes, 4, 1);
     LONGS_EQUAL_TEXT(2, second.send_heartbeats_for(milliseconds(400)), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(4), it.name);
     LONGS_EQUAL_TEXT(heartbeats_per_takeover,
@@ -58,20 +58,21 @@
 // tasks placed there would wait for the lease of a dead incarnation.
 TEST(restarted_worker, earlier_incarnation_gets_no_new_tasks) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
     if (it.leader_changes) {
-      all.elect(1);
+      boxes.elect(1);
       first.send_heartbeat();
     }
-    all.pass(cancelled::heartbeat_interval);
-    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    boxes.pass(cancelled::heartbeat_interval);
+    incarnation second(boxes, it.route, second_start_ms, it.clock_ms);
     second.send_heartbeat();
-    submit(all, 4, 6);
+    submit(boxes, 4, 6);
     second.send_heartbeats_for(milliseconds(400));
     LONGS_EQUAL_TEXT(4, second.runs_of(4), it.name);
-    for (const run_key& run : all.book().runs_on(life_of(id, first_start_ms))) {
+    for (const run_key& run :
+         boxes.book().runs_on(life_of(id, first_start_ms))) {
       CHECK_TRUE_TEXT(run.task.job.value() != 4, it.name);
     }
   }
@@ -79,37 +80,37 @@
 
 TEST(restarted_worker, its_first_ends_count_and_none_is_acknowledged_early) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
     first.end_all(fleet::run_failed);
     first.send_heartbeats_for(milliseconds(400));
-    all.pass(milliseconds(600));
-    if (it.leader_changes) all.elect(1);
-    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    boxes.pass(milliseconds(600));
+    if (it.leader_changes) boxes.elect(1);
+    incarnation second(boxes, it.route, second_start_ms, it.clock_ms);
     LONGS_EQUAL_TEXT(0, second.send_heartbeat().last_end(), it.name);
     second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(1, second.runs_of(2), it.name);
     second.end_all();
     second.send_heartbeats_for(takeover_time);
-    LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(all, 2), it.name);
+    LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(boxes, 2), it.name);
     LONGS_EQUAL_TEXT(0, second.runs_of(2), it.name);
   }
 }
 
 TEST(restarted_worker, its_first_end_is_not_taken_for_the_recorded_one) {
-  control_boxes all;
-  incarnation first(all, heartbeat_route::direct, first_start_ms, 500'000);
-  run_first_incarnation(all, first);
-  all.pass(milliseconds(8'000));
-  all.elect(1);
-  incarnation second(all, heartbeat_route::direct, second_start_ms, 2'000);
+  control_boxes boxes;
+  incarnation first(boxes, heartbeat_route::direct, first_start_ms, 500'000);
+  run_first_incarnation(boxes, first);
+  boxes.pass(milliseconds(8'000));
+  boxes.elect(1);
+  incarnation second(boxes, heartbeat_route::direct, second_start_ms, 2'000);
   LONGS_EQUAL(0, second.send_heartbeat().last_end());
   second.send_heartbeats_for(takeover_time);
   LONGS_EQUAL(1, second.runs_of(2));
   second.end_all();
   second.send_heartbeats_for(takeover_time);
-  LONGS_EQUAL(fleet::job_succeeded, phase_of(all, 2));
+  LONGS_EQUAL(fleet::job_succeeded, phase_of(boxes, 2));
 }
 
 // A heartbeat of the earlier incarnation is delayed by a network cut and
@@ -118,9 +119,9 @@
 TEST(restarted_worker,
      delayed_heartbeat_of_the_earlier_incarnation_is_ignored) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
     fleet::worker_beat delayed = first.beat();
     delayed.set_sequence(delayed.sequence() + 1);
     fleet::run_end& end = *delayed.add_ended();
@@ -128,8 +129,8 @@
     *end.mutable_task() = delayed.running(0).task();
     end.set_run(1);
     end.set_outcome(fleet::run_failed);
-    if (it.leader_changes) all.elect(1);
-    incarnation second(all, it.route, second_start_ms, it.clock_ms);
+    if (it.leader_changes) boxes.elect(1);
+    incarnation second(boxes, it.route, second_start_ms, it.clock_ms);
     second.send_heartbeats_for(takeover_time);
     LONGS_EQUAL_TEXT(2, second.beat().running_size(), it.name);
     LONGS_EQUAL_TEXT(0, second.send(delayed).orders().hold_ms(), it.name);
@@ -146,9 +147,9 @@
 // Both incarnations are at sequence number 3: an answer to one must not go to
 // the other.
 TEST(restarted_worker, answer_to_the_earlier_incarnation_goes_to_no_later_one) {
-  control_boxes all;
+  control_boxes boxes;
   metrics_registry metrics;
-  beat_intake intake({}, all.clock, metrics);
+  beat_intake intake({}, boxes.clock, metrics);
   fleet::worker_beat beat;
   beat.set_worker(id);
   beat.set_sequence(3);
@@ -156,11 +157,11 @@
   fleet::fleet_response to_first;
   intake.take(beat, [&](fleet::fleet_response it) { to_first = it; });
   fleet::beat_answers answers;
-  all.leader().take_beats(intake.collect("0"), [&](fleet::beat_answer it) {
+  boxes.leader().take_beats(intake.collect("0"), [&](fleet::beat_answer it) {
     *answers.add_answers() = std::move(it);
   });
-  all.commit();
-  all.pass(milliseconds(700));
+  boxes.commit();
+  boxes.pass(milliseconds(700));
   LONGS_EQUAL(1, answers.answers_size());
   beat.set_born(second_start_ms);
   int asked = 0;
@@ -173,12 +174,12 @@
 TEST(restarted_worker,
      incarnation_with_an_earlier_start_time_is_accepted_while_alive) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
-    if (it.leader_changes) all.elect(1);
-    all.pass(milliseconds(600));
-    incarnation second(all, it.route, first_start_ms - 5'000, it.clock_ms);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
+    if (it.leader_changes) boxes.elect(1);
+    boxes.pass(milliseconds(600));
+    incarnation second(boxes, it.route, first_start_ms - 5'000, it.clock_ms);
     second.send_heartbeats_for(milliseconds(5'000));
     LONGS_EQUAL_TEXT(1, second.runs_of(2), it.name);
     LONGS_EQUAL_TEXT(1, second.runs_of(3), it.name);
@@ -207,12 +208,12 @@
 
 TEST(restarted_worker, repeated_restarts_keep_the_worker_usable) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
-    incarnation first(all, it.route, first_start_ms, 500'000);
-    run_first_incarnation(all, first);
+    control_boxes boxes;
+    incarnation first(boxes, it.route, first_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
     for (uint64_t n = 1; n <= 5; ++n) {
-      if (it.leader_changes) all.elect(n % 2);
-      incarnation next(all, it.route, first_start_ms + n * 2'000,
+      if (it.leader_changes) boxes.elect(n % 2);
+      incarnation next(boxes, it.route, first_start_ms + n * 2'000,
                        it.clock_ms + static_cast<int64_t>(n % 2) * 700'000);
       next.send_heartbeats_for(takeover_time);
       LONGS_EQUAL_TEXT(1, next.runs_of(2), it.name);
@@ -225,21 +226,21 @@
 // success that it reported, and started the task again after its end.
 TEST(restarted_worker, success_of_a_doubted_incarnation_counts) {
   for (const restart_case& it : restart_cases) {
-    control_boxes all;
+    control_boxes boxes;
     // The clock was set back between the two incarnations.
-    incarnation first(all, it.route, second_start_ms, 500'000);
-    run_first_incarnation(all, first);
-    incarnation second(all, it.route, first_start_ms, it.clock_ms);
+    incarnation first(boxes, it.route, second_start_ms, 500'000);
+    run_first_incarnation(boxes, first);
+    incarnation second(boxes, it.route, first_start_ms, it.clock_ms);
     second.send_heartbeats_for(milliseconds(1'000));
-    submit(all, 4, 1);
+    submit(boxes, 4, 1);
     second.send_heartbeats_for(milliseconds(200));
     LONGS_EQUAL_TEXT(1, second.runs_of(4), it.name);
     second.end_all();
-    all.elect(1);
+    boxes.elect(1);
     LONGS_EQUAL_TEXT(0, second.send_heartbeat().hold_ms(), it.name);
-    incarnation third(all, it.route, second_start_ms + 60'000, 1'000);
+    incarnation third(boxes, it.route, second_start_ms + 60'000, 1'000);
     third.send_heartbeats_for(3 * takeover_time);
     LONGS_EQUAL_TEXT(0, third.runs_of(4), it.name);
-    LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(all, 4), it.name);
+    LONGS_EQUAL_TEXT(fleet::job_succeeded, phase_of(boxes, 4), it.name);
   }
 }
--- a/fleet/shrinking-room-test.cc
+++ b/fleet/shrinking-room-test.cc
@@ -31,8 +31,8 @@
 /// A worker of four processors that carries out its start orders.
 class resizable_worker {
  public:
-  resizable_worker(control_boxes& all, heartbeat_route route)
-      : boxes_(all), route_(route) {
+  resizable_worker(control_boxes& boxes, heartbeat_route route)
+      : boxes_(boxes), route_(route) {
     beat_.set_worker("w");
     beat_.set_pool("pool");
     beat_.set_address("w:1");
@@ -93,16 +93,16 @@
   uint64_t ends_ = 0;
 };
 
-void configure(control_boxes& all, bool enforces_capacity) {
+void configure(control_boxes& boxes, bool enforces_capacity) {
   fleet::fleet_request request;
   *request.mutable_put_config() = test_world::make_config(2);
   request.mutable_put_config()->mutable_pools(0)->set_guards_capacity(
       enforces_capacity);
-  all.ask(request);
+  boxes.ask(request);
 }
 
-void submit(control_boxes& all, uint64_t job, uint32_t tasks) {
-  all.ask(test_world::make_submit(job, {test_world::make_step(tasks)}));
+void submit(control_boxes& boxes, uint64_t job, uint32_t tasks) {
+  boxes.ask(test_world::make_submit(job, {test_world::make_step(tasks)}));
 }
 
 }  // namespace
@@ -111,16 +111,16 @@
 
 TEST(shrinking_room, is_not_filled_beyond_the_reduced_capacity) {
   for (const row& it : rows) {
-    control_boxes all;
-    configure(all, it.enforces_capacity);
-    resizable_worker worker(all, it.route);
+    control_boxes boxes;
+    configure(boxes, it.enforces_capacity);
+    resizable_worker worker(boxes, it.route);
     worker.send_heartbeat();
-    submit(all, 1, 2);
+    submit(boxes, 1, 2);
     worker.send_heartbeats_for(milliseconds(400));
     LONGS_EQUAL_TEXT(2, worker.beat().running_size(), it.name);
     worker.set_cpu(2'000);
     worker.send_heartbeat();
-    submit(all, 2, 2);
+    submit(boxes, 2, 2);
     worker.send_heartbeats_for(milliseconds(1'000));
     LONGS_EQUAL_TEXT(2, worker.beat().running_size(), it.name);
     worker.end_one_run();
@@ -134,15 +134,15 @@
 
 TEST(shrinking_room, below_the_running_tasks_gets_no_starts_until_it_grows) {
   for (const row& it : rows) {
-    control_boxes all;
-    configure(all, it.enforces_capacity);
-    resizable_worker worker(all, it.route);
+    control_boxes boxes;
+    configure(boxes, it.enforces_capacity);
+    resizable_worker worker(boxes, it.route);
     worker.send_heartbeat();
-    submit(all, 1, 4);
+    submit(boxes, 1, 4);
     worker.send_heartbeats_for(milliseconds(400));
     LONGS_EQUAL_TEXT(4, worker.beat().running_size(), it.name);
     worker.set_cpu(1'000);
-    submit(all, 2, 4);
+    submit(boxes, 2, 4);
     worker.send_heartbeats_for(milliseconds(1'000));
     LONGS_EQUAL_TEXT(4, worker.beat().running_size(), it.name);
     worker.end_one_run();
@@ -159,20 +159,20 @@
 // was dropped.
 TEST(shrinking_room, order_that_no_longer_fits_is_not_sent_again) {
   for (const row& it : rows) {
-    control_boxes all;
-    configure(all, it.enforces_capacity);
-    resizable_worker worker(all, it.route);
+    control_boxes boxes;
+    configure(boxes, it.enforces_capacity);
+    resizable_worker worker(boxes, it.route);
     worker.send_heartbeat();
-    submit(all, 1, 3);
+    submit(boxes, 1, 3);
     worker.send_heartbeats_for(milliseconds(400));
     worker.drops_starts = true;
-    submit(all, 2, 1);
+    submit(boxes, 2, 1);
     worker.send_heartbeats_for(milliseconds(400));
     worker.drops_starts = false;
     worker.set_cpu(3'000);
     for (int i = 0; i < 15; ++i) {
       LONGS_EQUAL_TEXT(0, worker.send_heartbeat().starts_size(), it.name);
-      all.pass(heartbeat_interval);
+      boxes.pass(heartbeat_interval);
     }
     LONGS_EQUAL_TEXT(3, worker.beat().running_size(), it.name);
     worker.end_one_run();
@@ -183,18 +183,18 @@
 
 // A worker that was silent for long may list runs that were declared lost.
 TEST(shrinking_room, run_declared_lost_takes_capacity_until_it_ends) {
-  control_boxes all;
-  configure(all, false);
-  resizable_worker worker(all, heartbeat_route::direct);
+  control_boxes boxes;
+  configure(boxes, false);
+  resizable_worker worker(boxes, heartbeat_route::direct);
   worker.send_heartbeat();
-  submit(all, 1, 3);
+  submit(boxes, 1, 3);
   worker.send_heartbeats_for(milliseconds(400));
   LONGS_EQUAL(3, worker.beat().running_size());
-  all.pass(milliseconds(9'000));
+  boxes.pass(milliseconds(9'000));
   for (int i = 0; i < 8; ++i) {
     worker.send_heartbeat();
     CHECK_TRUE(worker.beat().running_size() <= 4);
-    all.pass(heartbeat_interval);
+    boxes.pass(heartbeat_interval);
   }
 }
 
@@ -223,10 +223,10 @@
     {"after, below what runs", shrink_time::after, 1'000},
 };
 
-void shrink_around_leader_change(control_boxes& all, resizable_worker& worker,
+void shrink_around_leader_change(control_boxes& boxes, resizable_worker& worker,
                                  const capacity_change& it) {
   worker.drops_starts = true;
-  submit(all, 2, 2);
+  submit(boxes, 2, 2);
   worker.send_heartbeats_for(milliseconds(400));
   const auto shrink_at = [&](shrink_time when) {
     if (it.when != when) return;
@@ -234,7 +234,7 @@
     if (when != shrink_time::meanwhile) worker.send_heartbeat();
   };
   shrink_at(shrink_time::before);
-  all.elect(1);
+  boxes.elect(1);
   shrink_at(shrink_time::meanwhile);
   if (it.when == shrink_time::after) worker.send_heartbeat();
   shrink_at(shrink_time::after);
@@ -248,21 +248,21 @@
   for (const row& it : rows) {
     for (const capacity_change& c : capacity_changes) {
       const std::string name = str_cat(it.name, ", ", c.name);
-      control_boxes all;
-      configure(all, it.enforces_capacity);
-      resizable_worker worker(all, it.route);
+      control_boxes boxes;
+      configure(boxes, it.enforces_capacity);
+      resizable_worker worker(boxes, it.route);
       worker.send_heartbeat();
-      submit(all, 1, 2);
+      submit(boxes, 1, 2);
       worker.send_heartbeats_for(milliseconds(400));
       LONGS_EQUAL_TEXT(2, worker.beat().running_size(), name.c_str());
-      shrink_around_leader_change(all, worker, c);
-      submit(all, 3, 4);
+      shrink_around_leader_change(boxes, worker, c);
+      submit(boxes, 3, 4);
       const int processors = static_cast<int>(c.cpu_milli / 1'000);
       for (int i = 0; i < 40; ++i) {
         worker.send_heartbeat();
         CHECK_TRUE_TEXT(worker.beat().running_size() <= std::max(processors, 2),
                         name.c_str());
-        all.pass(heartbeat_interval);
+        boxes.pass(heartbeat_interval);
       }
       LONGS_EQUAL_TEXT(std::max(processors, 2), worker.beat().running_size(),
                        name.c_str());
