--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -72,8 +72,8 @@
     }
   }
 
-  /// Sets the delays between the leader and the first `n` boxes: that of its
-  /// answers and that of their calls.
+  /// Sets the delays of the leader's answers to the first `n` boxes and of the
+  /// calls of these boxes to the leader.
   void delay_boxes(int n, milliseconds answers, milliseconds calls) {
     for (size_t i = 0; i < static_cast<size_t>(n); ++i) {
       boxes_[i]->answer_delay = answers;
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -135,7 +135,7 @@
     worker_.end_stopped_runs();
     const fleet::worker_orders orders = worker_.send_heartbeat();
     if (orders.hold_ms() == 0) return "no orders";
-    if (orders.starts_size() > 0) return "the worker is told to start it";
+    if (orders.starts_size() > 0) return "the worker is told to start the task";
     if (other_.send_heartbeat().starts_size() > 0)
       return "the task starts on the other worker";
     if (!stops_every_run(worker_.beat(), orders))
--- a/fleet/fleet-cost-test-parts.h
+++ b/fleet/fleet-cost-test-parts.h
@@ -25,11 +25,11 @@
 /// Returns the scenario of a fleet of `workers`; jobs grow in proportion.
 inline scenario make_fleet(int workers) {
   constexpr double jobs_per_s_per_worker = 34.0 / 6'000;
-  constexpr uint32_t wide = 50;
+  constexpr uint32_t tasks_per_job = 50;
   constexpr int workers_per_box = 600;
   scenario it{"fleet", workers, {}};
   it.jobs_per_s = jobs_per_s_per_worker * workers;
-  it.tasks_per_job = wide;
+  it.tasks_per_job = tasks_per_job;
   // The leader's work takes no time on the virtual clock.
   it.processor_share = 1e9;
   it.intake_boxes = std::max(4, workers / workers_per_box);
--- a/fleet/over-life-test.cc
+++ b/fleet/over-life-test.cc
@@ -202,18 +202,19 @@
   world.beat("a");
   fleet::worker_beat& it = world.workers["a"];
   it.set_draining(true);
-  constexpr int64_t way = 800;
-  const int64_t leaves = world.clock.now().count() + 4'000;
-  int64_t left = 4'000;
-  while (left > 0) {
+  constexpr int64_t network_delay_ms = 800;
+  const int64_t leaves_at_ms = world.clock.now().count() + 4'000;
+  int64_t left_ms = 4'000;
+  while (left_ms > 0) {
     world.pass(milliseconds(200));
-    left = leaves - world.clock.now().count();
-    it.set_remaining_ms(static_cast<uint64_t>(left + way));
+    left_ms = leaves_at_ms - world.clock.now().count();
+    it.set_remaining_ms(static_cast<uint64_t>(left_ms + network_delay_ms));
     it.set_sequence(it.sequence() + 1);
-    it.set_clock_ms(static_cast<uint64_t>(world.clock.now().count() - way));
+    it.set_clock_ms(
+        static_cast<uint64_t>(world.clock.now().count() - network_delay_ms));
     fleet::fleet_request request;
     *request.mutable_beat() = it;
     if (world.ask(request).orders().stops_size() > 0) break;
   }
-  CHECK_TRUE(left >= 1'700);
+  CHECK_TRUE(left_ms >= 1'700);
 }
--- a/fleet/placed-in-vain-test.cc
+++ b/fleet/placed-in-vain-test.cc
@@ -29,13 +29,13 @@
 constexpr int max_placements = 2;
 
 busy::outcome run_scenario(const row& it) {
-  busy::scenario set = busy::make_fleet(it.workers);
-  set.jobs_per_s = 0;
+  busy::scenario fleet_scenario = busy::make_fleet(it.workers);
+  fleet_scenario.jobs_per_s = 0;
   if (it.step_costs) {
-    set.processor_share = 0;
-    set.cost = it.cost;
+    fleet_scenario.processor_share = 0;
+    fleet_scenario.cost = it.cost;
   }
-  busy::busy_world world(set);
+  busy::busy_world world(fleet_scenario);
   world.pass(milliseconds(6'000));
   // Keeps every worker busy, as the leader delays the answers of idle ones.
   world.submit_endless_tasks();
--- a/fleet/refused-job-test.cc
+++ b/fleet/refused-job-test.cc
@@ -18,19 +18,19 @@
 constexpr milliseconds fault_time{25'000};
 constexpr uint64_t seeds = 12;
 
-void add(answer_counts& all, const answer_counts& it) {
-  all.ok += it.ok;
-  all.unavailable += it.unavailable;
-  all.refused += it.refused;
-  all.no_queue += it.no_queue;
-  all.invalid += it.invalid;
-  all.unknown += it.unknown;
-  all.unanswered += it.unanswered;
-  all.accepted += it.accepted;
-  all.lost += it.lost;
-  all.not_accepted += it.not_accepted;
-  all.started += it.started;
-  all.terms += it.terms;
+void add(answer_counts& total, const answer_counts& it) {
+  total.ok += it.ok;
+  total.unavailable += it.unavailable;
+  total.refused += it.refused;
+  total.no_queue += it.no_queue;
+  total.invalid += it.invalid;
+  total.unknown += it.unknown;
+  total.unanswered += it.unanswered;
+  total.accepted += it.accepted;
+  total.lost += it.lost;
+  total.not_accepted += it.not_accepted;
+  total.started += it.started;
+  total.terms += it.terms;
 }
 
 void print(const char* name, const answer_counts& it) {
@@ -61,7 +61,7 @@
       {"leadership transfers", 0, 0, 0, 0, 0, 0, 40},
       {"all faults", 100, 400, 400, 600, 400, 200, 150},
   };
-  answer_counts all;
+  answer_counts total;
   for (const faults& it : rows) {
     answer_counts of_row;
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -74,9 +74,9 @@
     }
     print(it.name, of_row);
     CHECK_TRUE(of_row.ok > 0 && of_row.refused > 0 && of_row.started > 0);
-    add(all, of_row);
+    add(total, of_row);
   }
   // Every kind of answer must occur, and unclear answers with both outcomes.
-  CHECK_TRUE(all.unavailable > 0 && all.no_queue > 0 && all.invalid > 0);
-  CHECK_TRUE(all.unknown > 0 && all.accepted > 0 && all.lost > 0);
+  CHECK_TRUE(total.unavailable > 0 && total.no_queue > 0 && total.invalid > 0);
+  CHECK_TRUE(total.unknown > 0 && total.accepted > 0 && total.lost > 0);
 }
--- a/fleet/refused-test-world.h
+++ b/fleet/refused-test-world.h
@@ -16,9 +16,9 @@
 namespace kestrelreel::refused {
 
 constexpr milliseconds step_time{5};
-/// Time without faults at the end of a run.
+/// Time at the end of a run without faults, new jobs and cancels.
 constexpr milliseconds recovery_time{12'000};
-/// Final part of `recovery_time`, without requests.
+/// Final part of `recovery_time`, without new configurations either.
 constexpr milliseconds no_config_time{3'000};
 constexpr int boxes = 5;
 constexpr int workers = 3;
--- a/fleet/shrinking-room-test.cc
+++ b/fleet/shrinking-room-test.cc
@@ -246,8 +246,8 @@
 // The leader that ordered the starts has failed, and more tasks are pending.
 TEST(shrinking_room, next_leader_sends_no_earlier_start_that_no_longer_fits) {
   for (const row& it : rows) {
-    for (const capacity_change& c : capacity_changes) {
-      const std::string name = str_cat(it.name, ", ", c.name);
+    for (const capacity_change& change : capacity_changes) {
+      const std::string name = str_cat(it.name, ", ", change.name);
       control_boxes boxes;
       configure(boxes, it.enforces_capacity);
       resizable_worker worker(boxes, it.route);
@@ -255,9 +255,9 @@
       submit(boxes, 1, 2);
       worker.send_heartbeats_for(milliseconds(400));
       LONGS_EQUAL_TEXT(2, worker.beat().running_size(), name.c_str());
-      shrink_around_leader_change(boxes, worker, c);
+      shrink_around_leader_change(boxes, worker, change);
       submit(boxes, 3, 4);
-      const int processors = static_cast<int>(c.cpu_milli / 1'000);
+      const int processors = static_cast<int>(change.cpu_milli / 1'000);
       for (int i = 0; i < 40; ++i) {
         worker.send_heartbeat();
         CHECK_TRUE_TEXT(worker.beat().running_size() <= std::max(processors, 2),
--- a/fleet/slow-test-world.h
+++ b/fleet/slow-test-world.h
@@ -166,13 +166,13 @@
 
   void read_leave_messages(box& it) {
     std::vector<leave_message> rest;
-    for (const leave_message& d : it.leaves) {
-      if (d.arrives > clock_.now()) {
-        rest.push_back(d);
+    for (const leave_message& message : it.leaves) {
+      if (message.arrives > clock_.now()) {
+        rest.push_back(message);
         continue;
       }
       fleet::fleet_request request;
-      request.set_worker_leaves(d.worker);
+      request.set_worker_leaves(message.worker);
       it.controller->request(request, [](const fleet::fleet_response&) {});
     }
     it.leaves = std::move(rest);
@@ -247,9 +247,9 @@
     end.set_outcome(outcome);
     if (outcome != fleet::run_done) return;
     ++done_;
-    successful_end good{it.id, end.number(), clock_.now()};
-    good.must_count = faults_.quiet_links;
-    ends_.add(run.task, good);
+    successful_end success{it.id, end.number(), clock_.now()};
+    success.must_count = faults_.quiet_links;
+    ends_.add(run.task, success);
   }
 
   void advance_worker(simulated_worker& it) {
