--- a/fleet/busy-leader-test-parts.h
+++ b/fleet/busy-leader-test-parts.h
@@ -172,14 +172,14 @@
 
 /// Returns the first `n` live workers that run long-running tasks.
 inline std::vector<busy_worker*> workers_with_long_running(
-    std::deque<busy_worker>& all, int n) {
+    std::deque<busy_worker>& workers, int n) {
   std::vector<busy_worker*> out;
-  for (busy_worker& c : all) {
+  for (busy_worker& worker : workers) {
     if (out.size() == static_cast<size_t>(n)) break;
     const bool has_long_running = std::any_of(
-        c.state.runs.begin(), c.state.runs.end(),
+        worker.state.runs.begin(), worker.state.runs.end(),
         [](const auto& run) { return is_long_running(run.first.task); });
-    if (!c.lost && has_long_running) out.push_back(&c);
+    if (!worker.lost && has_long_running) out.push_back(&worker);
   }
   return out;
 }
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -202,14 +202,14 @@
       {", first stop lost", first_stop_delivery::dropped},
       {", first stop lost with its leader",
        first_stop_delivery::dropped_with_leader}};
-  std::vector<cancel_case> all;
+  std::vector<cancel_case> cases;
   for (const auto& [by, issued_by] : issuers) {
     for (const auto& [at, when] : times) {
       for (const heartbeat_route route :
            {heartbeat_route::direct, heartbeat_route::intake}) {
         for (const auto& [lost, stop] : stops) {
           for (const bool draining : {false, true}) {
-            all.push_back(
+            cases.push_back(
                 {std::string(by) + ", " + at +
                      (route == heartbeat_route::intake ? ", forwarded" : "") +
                      lost + (draining ? ", draining" : ""),
@@ -219,17 +219,18 @@
       }
     }
   }
-  return all;
+  return cases;
 }
 
 /// Commits the job, and proposes the start of its task without committing it.
-void propose_start(control_boxes& all) {
-  all.leader().request(test_world::make_submit(job, {test_world::make_step(1)}),
-                       [](const auto&) {});
-  all.leader().settle();
-  all.record();
-  all.leader().settle();
-  LONGS_EQUAL(1, all.log().proposed.size());
+void propose_start(control_boxes& boxes) {
+  boxes.leader().request(
+      test_world::make_submit(job, {test_world::make_step(1)}),
+      [](const auto&) {});
+  boxes.leader().settle();
+  boxes.record();
+  boxes.leader().settle();
+  LONGS_EQUAL(1, boxes.log().proposed.size());
 }
 
 }  // namespace
@@ -253,7 +254,7 @@
                       {"speculative", false, false, true, 0},
                       {"with times", false, false, false, 3}};
   for (const row& it : rows) {
-    control_boxes all;
+    control_boxes boxes;
     fleet::step_spec step = test_world::make_step(2);
     step.set_gang(it.gang);
     step.set_long_running(it.long_running);
@@ -264,14 +265,15 @@
     spec.set_times(it.times);
     spec.set_start_ms(1);
     spec.set_interval_ms(
-        static_cast<uint64_t>((all.clock.now() + milliseconds(500)).count()));
-    late_worker worker(all, "a", heartbeat_route::direct, 2'000);
-    late_worker other(all, "b", heartbeat_route::direct, 8'000);
-    all.ask(submit);
+        static_cast<uint64_t>((boxes.clock.now() + milliseconds(500)).count()));
+    late_worker worker(boxes, "a", heartbeat_route::direct, 2'000);
+    late_worker other(boxes, "b", heartbeat_route::direct, 8'000);
+    boxes.ask(submit);
     const fleet::worker_orders first = worker.send_heartbeat();
     for (const auto& order : first.starts()) worker.start_run(order);
     LONGS_EQUAL_TEXT(2, worker.beat().running_size(), it.name);
-    LONGS_EQUAL_TEXT(fleet::fleet_ok, all.ask(make_cancel()).status(), it.name);
+    LONGS_EQUAL_TEXT(fleet::fleet_ok, boxes.ask(make_cancel()).status(),
+                     it.name);
     for (milliseconds at{0}; at < max_leader_timeout;
          at += heartbeat_interval) {
       worker.end_stopped_runs();
@@ -281,34 +283,34 @@
           0, orders.starts_size() + other.send_heartbeat().starts_size(),
           it.name);
       worker.handle_orders(orders);
-      all.pass(heartbeat_interval);
+      boxes.pass(heartbeat_interval);
     }
     LONGS_EQUAL_TEXT(0, worker.beat().running_size(), it.name);
-    CHECK_TRUE_TEXT(all.book().runs().empty(), it.name);
+    CHECK_TRUE_TEXT(boxes.book().runs().empty(), it.name);
   }
 }
 
 TEST(cancelled_job, uncommitted_start_is_not_sent) {
-  control_boxes all;
-  late_worker worker(all, "a", heartbeat_route::direct, 1'000);
+  control_boxes boxes;
+  late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
   worker.send_heartbeat();
-  propose_start(all);
+  propose_start(boxes);
   // The answer waits for the start for a limited time.
   fleet::fleet_request request;
   *request.mutable_beat() = worker.beat();
   request.mutable_beat()->set_sequence(2);
   std::optional<fleet::fleet_response> answer;
-  all.leader().request(request, [&](const auto& it) { answer = it; });
-  all.leader().settle();
+  boxes.leader().request(request, [&](const auto& it) { answer = it; });
+  boxes.leader().settle();
   CHECK_FALSE(answer.has_value());
-  all.clock.advance(milliseconds(500));
-  all.leader().settle();
+  boxes.clock.advance(milliseconds(500));
+  boxes.leader().settle();
   CHECK_TRUE(answer.has_value());
   LONGS_EQUAL(0, answer->orders().starts_size());
   // The start is lost with its leader: no book lists the run as alive.
-  all.elect(1);
-  CHECK_TRUE(all.book().runs().empty());
-  LONGS_EQUAL(fleet::fleet_ok, all.ask(make_cancel()).status());
+  boxes.elect(1);
+  CHECK_TRUE(boxes.book().runs().empty());
+  LONGS_EQUAL(fleet::fleet_ok, boxes.ask(make_cancel()).status());
   worker.skip_heartbeat();
   LONGS_EQUAL(0, worker.send_heartbeat().starts_size());
 }
@@ -322,17 +324,17 @@
   const row rows[] = {{"committed", false, fleet::fleet_ok},
                       {"its leader is lost first", true, fleet::fleet_unknown}};
   for (const row& it : rows) {
-    control_boxes all;
-    all.ask(test_world::make_submit(job, {test_world::make_step(1)}));
+    control_boxes boxes;
+    boxes.ask(test_world::make_submit(job, {test_world::make_step(1)}));
     std::optional<fleet::fleet_status> status;
-    all.leader().request(make_cancel(),
-                         [&](const auto& r) { status = r.status(); });
-    all.leader().settle();
+    boxes.leader().request(make_cancel(),
+                           [&](const auto& r) { status = r.status(); });
+    boxes.leader().settle();
     CHECK_FALSE_TEXT(status.has_value(), it.name);
-    if (it.leader_lost_first) all.elect(1);
-    all.commit();
+    if (it.leader_lost_first) boxes.elect(1);
+    boxes.commit();
     CHECK_TRUE_TEXT(status == it.status, it.name);
-    const bool live = all.book().find(job_number(job))->live();
+    const bool live = boxes.book().find(job_number(job))->live();
     CHECK_EQUAL_TEXT(it.leader_lost_first, live, it.name);
   }
 }
@@ -346,22 +348,22 @@
   const row rows[] = {{"the start is committed first", true, 1},
                       {"the cancel is committed first", false, 0}};
   for (const row& it : rows) {
-    control_boxes all;
-    late_worker worker(all, "a", heartbeat_route::direct, 1'000);
+    control_boxes boxes;
+    late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
     worker.send_heartbeat();
-    propose_start(all);
+    propose_start(boxes);
     fleet::fleet_request request;
     *request.mutable_beat() = worker.beat();
     request.mutable_beat()->set_sequence(2);
     std::optional<fleet::fleet_response> answer;
-    all.leader().request(request, [&](const auto& r) { answer = r; });
-    all.leader().request(make_cancel(), [](const auto&) {});
-    all.leader().settle();
-    LONGS_EQUAL_TEXT(2, all.log().proposed.size(), it.name);
+    boxes.leader().request(request, [&](const auto& r) { answer = r; });
+    boxes.leader().request(make_cancel(), [](const auto&) {});
+    boxes.leader().settle();
+    LONGS_EQUAL_TEXT(2, boxes.log().proposed.size(), it.name);
     if (!it.start_first) {
-      std::swap(all.log().proposed[0], all.log().proposed[1]);
+      std::swap(boxes.log().proposed[0], boxes.log().proposed[1]);
     }
-    all.commit();
+    boxes.commit();
     CHECK_TRUE_TEXT(answer.has_value(), it.name);
     LONGS_EQUAL_TEXT(0, answer->orders().starts_size(), it.name);
     LONGS_EQUAL_TEXT(it.stops, answer->orders().stops_size(), it.name);
@@ -369,20 +371,20 @@
 }
 
 TEST(cancelled_job, job_is_kept_while_a_run_of_it_is_alive) {
-  control_boxes all;
-  late_worker worker(all, "a", heartbeat_route::direct, 1'000);
-  late_worker other(all, "b", heartbeat_route::direct, 4'000);
+  control_boxes boxes;
+  late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
+  late_worker other(boxes, "b", heartbeat_route::direct, 4'000);
   const fleet::fleet_request submit =
       test_world::make_submit(job, {test_world::make_step(2)});
-  all.ask(submit);
+  boxes.ask(submit);
   worker.start_run(worker.send_heartbeat().starts(0));
-  all.ask(make_cancel());
+  boxes.ask(make_cancel());
   // Every stop order is lost, and the caller submits the job again.
   for (milliseconds at{0}; at < max_leader_timeout; at += heartbeat_interval) {
     LONGS_EQUAL(1, worker.send_heartbeat().stops_size());
-    LONGS_EQUAL(fleet::fleet_ok, all.ask(submit).status());
+    LONGS_EQUAL(fleet::fleet_ok, boxes.ask(submit).status());
     LONGS_EQUAL(0, other.send_heartbeat().starts_size());
-    all.pass(heartbeat_interval);
+    boxes.pass(heartbeat_interval);
   }
-  CHECK_TRUE(all.book().find(job_number(job)) != nullptr);
+  CHECK_TRUE(boxes.book().find(job_number(job)) != nullptr);
 }
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -130,9 +130,9 @@
 /// that run.
 class late_worker {
  public:
-  late_worker(control_boxes& all, const char* name, heartbeat_route route,
+  late_worker(control_boxes& boxes, const char* name, heartbeat_route route,
               uint64_t cpu_milli)
-      : boxes_(all), route_(route) {
+      : boxes_(boxes), route_(route) {
     beat_.set_worker(name);
     beat_.set_pool("pool");
     beat_.set_cpu_milli(cpu_milli);
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -31,10 +31,10 @@
  public:
   using send_function = std::function<void(const proto::raft_message&)>;
 
-  control_box(std::string name, std::vector<std::string> all,
+  control_box(std::string name, std::vector<std::string> box_names,
               clock_source& clock, random_source& random, send_function send)
       : name_(std::move(name)),
-        all_(std::move(all)),
+        box_names_(std::move(box_names)),
         clock_(clock),
         random_(random),
         send_(std::move(send)) {}
@@ -151,7 +151,7 @@
 
   proto::membership founders() const {
     proto::membership members;
-    for (const std::string& it : all_) {
+    for (const std::string& it : box_names_) {
       proto::replica& voter = *members.add_voters();
       voter.set_box(it);
       voter.set_identity("founder");
@@ -182,7 +182,7 @@
   }
 
   std::string name_;
-  std::vector<std::string> all_;
+  std::vector<std::string> box_names_;
   clock_source& clock_;
   random_source& random_;
   send_function send_;
