--- a/fleet/busy-leader-test-world.h
+++ b/fleet/busy-leader-test-world.h
@@ -1,5 +1,5 @@
-// A leader each of whose steps costs time on the virtual clock, as on a small
-// share of a core. Workers call intake boxes, which pass their calls on to it.
+// A leader whose work costs time on the virtual clock, as on a small share of a
+// core. Workers send heartbeats to intake boxes, which forward them to it.
 #pragma once
 
 #include <algorithm>
@@ -15,22 +15,25 @@
 
 namespace kestrelreel::busy {
 
+/// Simulates a leader with many workers. The log is a queue whose entries are
+/// committed after a fixed delay.
 class busy_world final : public fleet_log {
  public:
-  explicit busy_world(const setting& it)
-      : setting_(it), leader_(make_settings(), clock_, *this, metrics_) {
-    for (int i = 0; i < it.intakes; ++i) {
+  explicit busy_world(const scenario& it)
+      : scenario_(it), leader_(make_settings(), clock_, *this, metrics_) {
+    for (int i = 0; i < it.intake_boxes; ++i) {
       boxes_.push_back(std::make_unique<intake_box>(clock_, metrics_));
     }
     for (int i = 0; i < it.workers; ++i) {
-      caller& c = callers_.emplace_back();
-      c.it.id = c.it.name = "w" + std::to_string(i);
-      c.it.address = c.it.id + ":1";
-      c.it.born = clock_.now();
-      c.it.born_ms = slow::first_born;
-      c.it.lease = clock_.now();
-      c.it.next_call = clock_.now() + milliseconds(i % it.first_calls.count());
-      c.box = i % it.intakes;
+      busy_worker& worker = workers_.emplace_back();
+      worker.state.id = worker.state.name = "w" + std::to_string(i);
+      worker.state.address = worker.state.id + ":1";
+      worker.state.born = clock_.now();
+      worker.state.born_ms = slow::start_unix_ms;
+      worker.state.lease = clock_.now();
+      worker.state.next_call =
+          clock_.now() + milliseconds(i % it.first_call_spread.count());
+      worker.box = i % it.intake_boxes;
     }
     leader_.set_leading(true);
     fleet::fleet_request request;
@@ -41,46 +44,47 @@
   bool may_decide() override { return true; }
   term_number term() const override { return term_number(term_); }
   absl::Status propose(const fleet::fleet_command& command) override {
-    entries_.push_back({clock_.now() + commit_time, command});
+    entries_.push_back({clock_.now() + commit_delay, command});
     return absl::OkStatus();
   }
 
   void pass(milliseconds length) {
     const time_point end = clock_.now() + length;
-    while (clock_.now() < end && out_.wrong.empty()) one_step();
+    while (clock_.now() < end && out_.violation.empty()) one_step();
   }
 
-  /// An endless task comes for each worker.
-  void keep_busy() {
-    const auto n = static_cast<uint32_t>(setting_.workers);
+  /// Submits one task without an end for each worker.
+  void submit_endless_tasks() {
+    const auto n = static_cast<uint32_t>(scenario_.workers);
     fleet::step_spec step = test_world::make_step(n);
     step.set_anti_affinity(1);
     submit(endless_job, step);
   }
 
-  /// Lasting tasks come, `n` jobs of `width`.
-  void serve(int n, uint32_t width) {
+  /// Submits `n` long-running jobs of `tasks_per_job` tasks.
+  void submit_long_running(int n, uint32_t tasks_per_job) {
     for (int i = 0; i < n; ++i) {
-      fleet::step_spec step = test_world::make_step(width);
+      fleet::step_spec step = test_world::make_step(tasks_per_job);
       step.set_long_running(true);
       step.set_target_ms(100);
       step.set_image("serving");
-      submit(++lasting_jobs_, step);
+      submit(++long_running_jobs_, step);
     }
   }
 
-  /// The leader's answers take so long to the first `n` boxes from now on, and
-  /// their calls so long to it.
-  void delay(int n, milliseconds answers, milliseconds calls) {
+  /// Sets the delays of the leader's answers to the first `n` boxes and of the
+  /// calls of these boxes to the leader.
+  void delay_boxes(int n, milliseconds answers, milliseconds calls) {
     for (size_t i = 0; i < static_cast<size_t>(n); ++i) {
-      boxes_[i]->answers_late = answers;
-      boxes_[i]->calls_late = calls;
+      boxes_[i]->answer_delay = answers;
+      boxes_[i]->call_delay = calls;
     }
   }
 
-  void set_jobs_per_s(double n) { setting_.jobs_per_s = n; }
+  void set_jobs_per_s(double n) { scenario_.jobs_per_s = n; }
 
-  /// Another box leads: it knows the book and no worker.
+  /// Another box becomes leader: the job book is kept, the state of the
+  /// workers is not.
   void change_leader() {
     ++term_;
     charged([this] {
@@ -94,45 +98,45 @@
     }
   }
 
-  /// The first `n` workers are lost for good, with what they run.
-  void lose(int n) {
-    for (int i = 0; i < n; ++i) callers_[static_cast<size_t>(i)].lost = true;
+  /// Loses the first `n` workers for good, with their runs.
+  void lose_workers(int n) {
+    for (int i = 0; i < n; ++i) workers_[static_cast<size_t>(i)].lost = true;
   }
-  /// So for the first `n` that run lasting tasks.
-  void interrupt_serving(int n, interruption how) {
-    for (caller* c : serving(callers_, n)) {
-      c->lost = how != interruption::fail;
-      if (how == interruption::leave) ask(make_leave(c->it));
-      if (how == interruption::fail) end_all(*c, fleet::run_failed);
+  /// Interrupts the first `n` workers that run long-running tasks.
+  void interrupt_long_running(int n, interruption how) {
+    for (busy_worker* worker : workers_with_long_running(workers_, n)) {
+      worker->lost = how != interruption::fail;
+      if (how == interruption::leave) ask(make_leave(worker->state));
+      if (how == interruption::fail) end_all(*worker, fleet::run_failed);
     }
   }
 
   const outcome& out() {
-    waits_.close(clock_.now(), out_);
+    waits_.finish(clock_.now(), out_);
     return out_;
   }
 
  private:
   void one_step() {
     clock_.advance(step_time);
-    come();
-    share_ways();
-    for (auto& box : boxes_) pass_on(*box);
-    spare_us_ = std::min(spare_us_ + us_per_step, us_per_step);
-    // What a step costs beyond what is left holds up the next ones.
-    while (spare_us_ > 0 && lead()) {
+    submit_due_jobs();
+    exchange_leader_delays();
+    for (auto& box : boxes_) forward(*box);
+    budget_us_ = std::min(budget_us_ + us_per_step, us_per_step);
+    // Work that exceeds the budget delays the following steps.
+    while (budget_us_ > 0 && run_next_source()) {
     }
-    for (size_t i = 0; i < callers_.size(); ++i) live(i);
-    for (reply& it : std::exchange(replies_, {})) take(it);
+    for (size_t i = 0; i < workers_.size(); ++i) advance_worker(i);
+    for (reply& it : std::exchange(replies_, {})) handle(it);
   }
 
-  /// Short jobs, spread evenly.
-  void come() {
+  /// Submits the short jobs that are due, spread evenly over time.
+  void submit_due_jobs() {
     constexpr double ms_per_s = 1'000;
-    due_jobs_ += setting_.jobs_per_s * step_time.count() / ms_per_s;
+    due_jobs_ += scenario_.jobs_per_s * step_time.count() / ms_per_s;
     for (; due_jobs_ >= 1; --due_jobs_) {
-      fleet::step_spec step = test_world::make_step(setting_.width);
-      step.set_estimate_ms(static_cast<uint64_t>(short_work.count()));
+      fleet::step_spec step = test_world::make_step(scenario_.tasks_per_job);
+      step.set_estimate_ms(static_cast<uint64_t>(short_task_time.count()));
       submit(first_short_job + ++short_jobs_, step);
     }
   }
@@ -145,8 +149,8 @@
     submissions_.push_back(test_world::make_submit(job, {step}));
   }
 
-  /// The boxes tell each other of their ways to the leader.
-  void share_ways() {
+  /// The boxes tell each other their delays to the leader.
+  void exchange_leader_delays() {
     if (clock_.now() % tick_interval != milliseconds(0)) return;
     for (auto& box : boxes_) {
       std::optional<milliseconds> shortest;
@@ -159,39 +163,40 @@
     }
   }
 
-  void pass_on(intake_box& box) {
+  void forward(intake_box& box) {
     while (!box.replies.empty() &&
-           box.replies.front().arrives + box.answers_late <= clock_.now()) {
+           box.replies.front().arrives + box.answer_delay <= clock_.now()) {
       fleet::beat_answers one;
       *one.add_answers() = std::move(box.replies.front().answer);
       box.replies.pop_front();
       box.intake.handle_answers(one);
     }
     if (clock_.now() % tick_interval == milliseconds(0)) box.intake.expire();
-    if (clock_.now() % pass_on_interval != milliseconds(0)) return;
+    if (clock_.now() % forward_interval != milliseconds(0)) return;
     if (box.intake.has_pending_calls()) {
       box.sent.push_back(
           {clock_.now(), box.intake.collect("leader" + std::to_string(term_))});
     }
   }
 
-  /// The next piece of work in turn; false where there is none.
-  bool lead() {
-    const int sources = 4 + setting_.intakes;
+  /// Does the next piece of work, round robin over the sources; returns false
+  /// if there is none.
+  bool run_next_source() {
+    const int sources = 4 + scenario_.intake_boxes;
     for (int i = 0; i < sources; ++i) {
-      at_ = (at_ + 1) % sources;
-      const double cost = work(at_);
+      last_source_ = (last_source_ + 1) % sources;
+      const double cost = run_source(last_source_);
       if (cost == 0) continue;
-      spare_us_ -= cost;
+      budget_us_ -= cost;
       return true;
     }
     return false;
   }
 
-  /// What it cost, 0 where there was nothing to do.
-  double work(int source) {
+  /// Returns the cost in microseconds, 0 if the source had no work.
+  double run_source(int source) {
     const time_point now = clock_.now();
-    const costs& cost = setting_.cost;
+    const step_costs& cost = scenario_.cost;
     if (source == 0) {
       if (now - ticked_at_ < tick_interval) return 0;
       ticked_at_ = now;
@@ -204,26 +209,26 @@
       return charged([this] { leader_.decide(); });
     }
     if (source == 2) {
-      if (entries_.empty() || entries_.front().lasts > now) return 0;
-      return charged([this] { apply(); }, cost.entry - cost.turn);
+      if (entries_.empty() || entries_.front().due_at > now) return 0;
+      return charged([this] { apply(); }, cost.entry - cost.loop_turn);
     }
     if (source == 3) {
       if (submissions_.empty()) return 0;
       const double all = charged([this] { ask(submissions_.front()); },
-                                 cost.entry - cost.turn);
+                                 cost.entry - cost.loop_turn);
       submissions_.pop_front();
       return all;
     }
-    return read(*boxes_[static_cast<size_t>(source - 4)]);
+    return read_batch(*boxes_[static_cast<size_t>(source - 4)]);
   }
 
-  double read(intake_box& box) {
+  double read_batch(intake_box& box) {
     const bool due = !box.sent.empty() &&
-                     box.sent.front().at + box.calls_late <= clock_.now();
+                     box.sent.front().at + box.call_delay <= clock_.now();
     if (!due) return 0;
     const fleet::beat_batch batch = std::move(box.sent.front().batch);
     box.sent.pop_front();
-    for (const fleet::worker_beat& it : batch.beats()) note_read(it);
+    for (const fleet::worker_beat& it : batch.beats()) record_read(it);
     return charged(
         [&] {
           leader_.take_heartbeats(
@@ -232,38 +237,44 @@
                 box.replies.push_back({clock_.now(), std::move(answer)});
               });
         },
-        setting_.cost.read * batch.beats_size());
+        scenario_.cost.read * batch.beats_size());
   }
 
-  void note_read(const fleet::worker_beat& beat) {
-    caller& c = callers_[std::stoul(beat.worker().substr(1))];
-    if (c.lost || beat.sequence() <= c.read) return;
-    if (c.read > 0) {
-      out_.longest_unread =
-          std::max(out_.longest_unread, clock_.now() - c.read_at);
+  void record_read(const fleet::worker_beat& beat) {
+    busy_worker& worker = workers_[std::stoul(beat.worker().substr(1))];
+    if (worker.lost || beat.sequence() <= worker.read) return;
+    if (worker.read > 0) {
+      out_.longest_read_gap =
+          std::max(out_.longest_read_gap, clock_.now() - worker.read_at);
     }
-    c.read = beat.sequence();
-    c.read_at = clock_.now();
+    worker.read = beat.sequence();
+    worker.read_at = clock_.now();
   }
 
-  /// By what the leader counts of its looks and answers, `more` beside, or by
-  /// the processor time that it takes here.
+  /// Runs `work` and returns its cost in microseconds: from the leader's
+  /// counters of checks and answers plus `more`, or from the measured processor
+  /// time.
   template <typename Work>
   double charged(Work work, double more = 0) {
-    uint64_t& looks = metrics_.counter("kestrelreel_placement_looks_total");
-    uint64_t& rooms = metrics_.counter("kestrelreel_room_looks_total");
-    const uint64_t looks_before = looks;
-    const uint64_t rooms_before = rooms;
+    uint64_t& placement_checks =
+        metrics_.counter("kestrelreel_placement_looks_total");
+    uint64_t& capacity_checks =
+        metrics_.counter("kestrelreel_room_looks_total");
+    const uint64_t placement_checks_before = placement_checks;
+    const uint64_t capacity_checks_before = capacity_checks;
     const uint64_t answers_before = out_.answers;
-    const double begun = thread_us();
+    const double started_us = thread_cpu_us();
     work();
-    const double took = thread_us() - begun;
-    out_.leader_us += took;
-    if (setting_.processor_share > 0) return took / setting_.processor_share;
-    const costs& cost = setting_.cost;
-    return more + cost.turn +
-           cost.look * static_cast<double>(looks - looks_before) +
-           cost.room_look * static_cast<double>(rooms - rooms_before) +
+    const double spent_us = thread_cpu_us() - started_us;
+    out_.leader_us += spent_us;
+    if (scenario_.processor_share > 0)
+      return spent_us / scenario_.processor_share;
+    const step_costs& cost = scenario_.cost;
+    return more + cost.loop_turn +
+           cost.placement_check *
+               static_cast<double>(placement_checks - placement_checks_before) +
+           cost.capacity_check *
+               static_cast<double>(capacity_checks - capacity_checks_before) +
            cost.answer * static_cast<double>(out_.answers - answers_before);
   }
 
@@ -273,87 +284,93 @@
     leader_.applied(command);
     for (const auto& it : command.batch().commands()) {
       for (const fleet::run_start& start : it.starts().starts()) {
-        waits_.kept({to_key(start.task()), run_number(start.run())},
-                    clock_.now());
+        waits_.start_committed({to_key(start.task()), run_number(start.run())},
+                               clock_.now());
       }
     }
   }
 
-  void live(size_t i) {
-    caller& c = callers_[i];
+  void advance_worker(size_t i) {
+    busy_worker& worker = workers_[i];
     const time_point now = clock_.now();
-    if (c.lost) return c.lapsed ? void() : drop(c);
-    for (auto run = c.it.runs.begin(); run != c.it.runs.end();) {
+    if (worker.lost) return worker.lapsed ? void() : drop_runs(worker);
+    for (auto run = worker.state.runs.begin();
+         run != worker.state.runs.end();) {
       const auto next = std::next(run);
-      if (now >= run->second) end_run(c, run->first, fleet::run_done);
+      if (now >= run->second) end_run(worker, run->first, fleet::run_done);
       run = next;
     }
-    if (now >= c.it.lease) lapse(c);
-    if (c.it.out != 0 && now - c.it.sent >= answer_limit) turn_elsewhere(c);
-    if (c.it.out == 0 && now >= c.it.next_call) call(i);
+    if (now >= worker.state.lease) expire_lease(worker);
+    if (worker.state.pending != 0 && now - worker.state.sent >= answer_limit)
+      try_next_box(worker);
+    if (worker.state.pending == 0 && now >= worker.state.next_call)
+      send_heartbeat(i);
   }
 
-  void drop(caller& c) {
-    c.lapsed = true;
-    for (const auto& [run, ends] : c.it.runs) note_gone(run.task);
-    c.it.runs.clear();
+  void drop_runs(busy_worker& worker) {
+    worker.lapsed = true;
+    for (const auto& [run, ends] : worker.state.runs)
+      record_interruption(run.task);
+    worker.state.runs.clear();
   }
 
-  void lapse(caller& c) {
-    out_.lapsed += static_cast<int>(c.it.runs.size());
-    end_all(c, fleet::run_lapsed);
-    ends_.lapse(c.it.id);
+  void expire_lease(busy_worker& worker) {
+    out_.lapsed += static_cast<int>(worker.state.runs.size());
+    end_all(worker, fleet::run_lapsed);
+    ends_.expire_lease(worker.state.id);
   }
 
-  void end_all(caller& c, fleet::run_outcome outcome) {
-    const auto runs = c.it.runs;
-    for (const auto& [run, ends] : runs) end_run(c, run, outcome);
+  void end_all(busy_worker& worker, fleet::run_outcome outcome) {
+    const auto runs = worker.state.runs;
+    for (const auto& [run, ends] : runs) end_run(worker, run, outcome);
   }
 
-  void turn_elsewhere(caller& c) {
-    c.it.out = 0;
-    c.box = (c.box + 1) % setting_.intakes;
-    c.it.next_call = clock_.now();
+  void try_next_box(busy_worker& worker) {
+    worker.state.pending = 0;
+    worker.box = (worker.box + 1) % scenario_.intake_boxes;
+    worker.state.next_call = clock_.now();
   }
 
-  void end_run(caller& c, run_key run, fleet::run_outcome outcome) {
-    c.it.runs.erase(run);
-    fleet::run_end& end = c.it.ended.emplace_back();
-    end.set_number(++c.it.end_number);
+  void end_run(busy_worker& worker, run_key run, fleet::run_outcome outcome) {
+    worker.state.runs.erase(run);
+    fleet::run_end& end = worker.state.ended.emplace_back();
+    end.set_number(++worker.state.end_number);
     *end.mutable_task() = to_ref(run.task);
     end.set_run(static_cast<uint32_t>(run.run.value()));
     end.set_outcome(outcome);
-    c.it.next_call = std::min(c.it.next_call, clock_.now() + after_end);
-    note_gone(run.task);
+    worker.state.next_call =
+        std::min(worker.state.next_call, clock_.now() + call_delay_after_end);
+    record_interruption(run.task);
     if (outcome != fleet::run_done) return;
     ++out_.done;
     done_.insert(run.task);
-    ends_.add(run.task, {c.it.id, end.number(), clock_.now()});
+    ends_.add(run.task, {worker.state.id, end.number(), clock_.now()});
   }
 
-  void call(size_t i) {
-    machine& it = callers_[i].it;
-    it.out = ++it.sequence;
+  void send_heartbeat(size_t i) {
+    simulated_worker& it = workers_[i].state;
+    it.pending = ++it.sequence;
     it.sent = clock_.now();
-    boxes_[static_cast<size_t>(callers_[i].box)]->intake.take(
+    boxes_[static_cast<size_t>(workers_[i].box)]->intake.take(
         slow::make_beat(it, clock_.now()),
         [this, i, n = it.sequence](fleet::fleet_response response) {
           replies_.push_back({i, n, std::move(response)});
         });
   }
 
-  void take(reply& answer) {
-    caller& c = callers_[answer.caller];
-    machine& it = c.it;
-    if (c.lost || it.out != answer.sequence) return;
-    if (answer.response.status() != fleet::fleet_ok) return turn_elsewhere(c);
+  void handle(reply& answer) {
+    busy_worker& worker = workers_[answer.worker];
+    simulated_worker& it = worker.state;
+    if (worker.lost || it.pending != answer.sequence) return;
+    if (answer.response.status() != fleet::fleet_ok)
+      return try_next_box(worker);
     const fleet::worker_orders& orders = answer.response.orders();
-    it.out = 0;
+    it.pending = 0;
     const milliseconds pause(static_cast<int64_t>(orders.next_beat_ms()));
-    it.next_call = clock_.now() + std::max(pause, after_end);
+    it.next_call = clock_.now() + std::max(pause, call_delay_after_end);
     if (orders.hold_ms() == 0) return;
-    if (setting_.sends_home) {
-      c.box = static_cast<int>(answer.caller) % setting_.intakes;
+    if (scenario_.returns_to_first_box) {
+      worker.box = static_cast<int>(answer.worker) % scenario_.intake_boxes;
     }
     it.lease = std::max(
         it.lease,
@@ -361,17 +378,17 @@
     std::erase_if(it.ended, [&](const auto& e) {
       return e.number() <= orders.last_end();
     });
-    fail(ends_.note(it.id, orders.last_end()));
+    fail(ends_.acknowledge(it.id, orders.last_end()));
     for (const auto& stop : orders.stops()) {
       const run_key run{to_key(stop.task()), run_number(stop.run())};
       it.highest[run.task] = std::max(it.highest[run.task], run.run);
-      if (it.runs.contains(run)) end_run(c, run, fleet::run_stopped);
+      if (it.runs.contains(run)) end_run(worker, run, fleet::run_stopped);
     }
-    for (const auto& start : orders.starts()) begin(c, start);
+    for (const auto& start : orders.starts()) start_run(worker, start);
   }
 
-  void begin(caller& c, const fleet::start_order& start) {
-    machine& it = c.it;
+  void start_run(busy_worker& worker, const fleet::start_order& start) {
+    simulated_worker& it = worker.state;
     const run_key run{to_key(start.task()), run_number(start.run())};
     if (run.run <= it.highest[run.task]) return;
     it.highest[run.task] = run.run;
@@ -379,44 +396,45 @@
       fail(to_text(run.task) + " runs twice");
     }
     fail(ends_.start(run.task));
-    if (done_.contains(run.task)) ++out_.started_again;
-    if (it.runs.size() >= slow::worker_capacity)
-      fail(it.id + " is over its room");
+    if (done_.contains(run.task)) ++out_.restarts_after_success;
+    if (it.runs.size() >= slow::worker_cpus)
+      fail(it.id + " is over its capacity");
     const time_point now = clock_.now();
-    waits_.begun(run, now, out_);
-    it.runs[run] = is_endless(run.task) ? time_point::max() : now + short_work;
+    waits_.started(run, now, out_);
+    it.runs[run] =
+        is_endless(run.task) ? time_point::max() : now + short_task_time;
   }
 
-  void note_gone(const task_key& task) {
+  void record_interruption(const task_key& task) {
     running_.erase(task);
-    if (is_lasting(task)) waits_.gone(task, clock_.now());
+    if (is_long_running(task)) waits_.interrupted(task, clock_.now());
   }
   void fail(const std::string& what) {
-    if (out_.wrong.empty() && !what.empty()) {
-      out_.wrong = what + " at " + std::to_string(clock_.now().count());
+    if (out_.violation.empty() && !what.empty()) {
+      out_.violation = what + " at " + std::to_string(clock_.now().count());
     }
   }
 
-  setting setting_;
+  scenario scenario_;
   test_clock clock_;
   metrics_registry metrics_;
   fleet_controller leader_;
   std::vector<std::unique_ptr<intake_box>> boxes_;
-  std::deque<caller> callers_;
+  std::deque<busy_worker> workers_;
   std::deque<entry> entries_;
   std::deque<fleet::fleet_request> submissions_;
   std::vector<reply> replies_;
   task_waits waits_;
   std::set<task_key> running_;
   std::set<task_key> done_;
-  end_ledger ends_;
+  end_tracker ends_;
   outcome out_;
-  double spare_us_ = 0;
+  double budget_us_ = 0;
   double due_jobs_ = 0;
   uint64_t short_jobs_ = 0;
-  uint64_t lasting_jobs_ = 0;
+  uint64_t long_running_jobs_ = 0;
   uint64_t term_ = 1;
-  int at_ = 0;
+  int last_source_ = 0;
   time_point ticked_at_{};
   time_point settled_at_{};
 };
--- a/fleet/cancel-before-job-test.cc
+++ b/fleet/cancel-before-job-test.cc
@@ -22,18 +22,18 @@
   const row rows[] = {{"the job waits to be proposed", false},
                       {"the job is proposed", true}};
   for (const row& it : rows) {
-    boxes all;
-    slow_worker worker(all, "a", road::direct, 1'000);
-    worker.call();
+    control_boxes all;
+    late_worker worker(all, "a", heartbeat_route::direct, 1'000);
+    worker.send_heartbeat();
     all.leader().request(
         test_world::make_submit(job, {test_world::make_step(1)}),
         [](const auto&) {});
     if (it.proposed) all.leader().decide();
     std::optional<fleet::fleet_status> status;
-    all.leader().request(cancel_call(),
+    all.leader().request(make_cancel(),
                          [&](const auto& r) { status = r.status(); });
     all.commit();
-    LONGS_EQUAL_TEXT(0, worker.call().starts_size(), it.name);
+    LONGS_EQUAL_TEXT(0, worker.send_heartbeat().starts_size(), it.name);
     CHECK_TRUE_TEXT(status == fleet::fleet_ok, it.name);
     LONGS_EQUAL_TEXT(fleet::job_canceled,
                      all.book().find(job_number(job))->phase, it.name);
@@ -41,7 +41,7 @@
 }
 
 TEST(cancel_before_job, cancel_of_unknown_job_reports_no_job) {
-  boxes all;
-  LONGS_EQUAL(fleet::fleet_no_job, all.ask(cancel_call()).status());
+  control_boxes all;
+  LONGS_EQUAL(fleet::fleet_no_job, all.ask(make_cancel()).status());
   CHECK_TRUE(all.book().jobs().empty());
 }
--- a/fleet/cancelled-job-test.cc
+++ b/fleet/cancelled-job-test.cc
@@ -1,5 +1,6 @@
-// Runs of a cancelled job end within the users' bounds, whoever ordered them
-// and however late a worker began them, and nothing of the job starts again.
+// Runs of a cancelled job end within the users' limits, whichever leader
+// ordered them and however late a worker started them. No task of the job
+// starts again.
 #include <CppUTest/TestHarness.h>
 
 #include <string>
@@ -13,29 +14,29 @@
 
 namespace {
 
-enum class starter { this_leader, gone_box, earlier_term_of_this_box };
-enum class begins {
+enum class issuer { current_leader, previous_leader, same_leader_earlier_term };
+enum class start_time {
   before_cancel,
   after_cancel,
-  given_up_as_never_begun,
-  given_up_as_silent,
-  after_its_worker_left,
-  after_the_job_was_forgotten
+  declared_lost_unstarted,
+  declared_lost_silent,
+  after_worker_left,
+  after_job_forgotten
 };
-enum class first_stop { arrives, is_lost, is_lost_with_its_leader };
+enum class first_stop_delivery { arrives, dropped, dropped_with_leader };
 
-struct late_case {
+struct cancel_case {
   std::string name;
-  starter ordered_by;
-  begins when;
-  road calls_by;
-  first_stop stop;
+  issuer issued_by;
+  start_time when;
+  heartbeat_route route;
+  first_stop_delivery stop;
   bool draining;
 };
 
-/// Each run that the worker lists is told to stop by the answer.
-bool stops_all(const fleet::worker_beat& beat,
-               const fleet::worker_orders& orders) {
+/// Returns whether the answer tells the worker to stop every run that it lists.
+bool stops_every_run(const fleet::worker_beat& beat,
+                     const fleet::worker_orders& orders) {
   for (const fleet::running_row& row : beat.running()) {
     bool found = false;
     for (const fleet::stop_order& it : orders.stops()) {
@@ -47,206 +48,216 @@
   return true;
 }
 
-/// Plays one case; the first promise that was broken is told.
-class late_play {
+/// Runs one case and returns the first violation, or an empty string.
+class cancel_scenario {
  public:
-  explicit late_play(const late_case& it) : case_(it) {}
+  explicit cancel_scenario(const cancel_case& it) : case_(it) {}
 
   std::string run() {
-    if (!get_order()) return "no order to begin with";
-    if (!cancel_it()) return "the cancel was not acknowledged";
-    if (!wait_to_begin()) return "what it waits for did not come";
-    const std::string wrong = watch();
-    return wrong.empty() ? watch_after() : wrong;
+    if (!receive_start_order()) return "no start order";
+    if (!cancel_and_drain()) return "the cancel was not acknowledged";
+    if (!wait_and_start()) return "the awaited event did not happen";
+    const std::string violation = check_until_stopped();
+    return violation.empty() ? check_after_stop() : violation;
   }
 
  private:
-  bool get_order() {
-    worker_.call();
-    // The second task finds no room yet: a later start of it would be seen.
+  bool receive_start_order() {
+    worker_.send_heartbeat();
+    // There is no capacity for the second task yet, so that a later start of it
+    // would be seen.
     boxes_.ask(test_world::make_submit(job, {test_world::make_step(2)}));
-    const fleet::worker_orders orders = worker_.call();
+    const fleet::worker_orders orders = worker_.send_heartbeat();
     if (orders.starts_size() != 1) return false;
     order_ = orders.starts(0);
-    if (case_.when == begins::before_cancel) worker_.begin(order_);
-    if (case_.ordered_by == starter::this_leader) {
-      if (case_.when == begins::before_cancel) worker_.call();
+    if (case_.when == start_time::before_cancel) worker_.start_run(order_);
+    if (case_.issued_by == issuer::current_leader) {
+      if (case_.when == start_time::before_cancel) worker_.send_heartbeat();
       return true;
     }
     boxes_.clock.advance(milliseconds(1'000));
-    boxes_.elect(case_.ordered_by == starter::gone_box ? 1 : 0);
+    boxes_.elect(case_.issued_by == issuer::previous_leader ? 1 : 0);
     return true;
   }
-  bool cancel_it() {
-    if (boxes_.ask(cancel_call()).status() != fleet::fleet_ok) return false;
+  bool cancel_and_drain() {
+    if (boxes_.ask(make_cancel()).status() != fleet::fleet_ok) return false;
     if (case_.draining) worker_.drain();
     return true;
   }
-  bool wait_to_begin() {
-    const auto given_up = [this] {
+  bool wait_and_start() {
+    const auto declared_lost = [this] {
       return boxes_.book().runs_on(worker_id("a")).empty();
     };
-    bool came = true;
+    bool reached_start = true;
     switch (case_.when) {
-      case begins::before_cancel:
+      case start_time::before_cancel:
         return true;
-      case begins::after_cancel:
-        boxes_.pass(late_answer);
+      case start_time::after_cancel:
+        boxes_.pass(answer_expiry);
         break;
-      case begins::given_up_as_never_begun:
-        came = wait(given_up, true);
+      case start_time::declared_lost_unstarted:
+        reached_start = wait(declared_lost, true);
         break;
-      case begins::given_up_as_silent:
-        came = wait(given_up, false);
+      case start_time::declared_lost_silent:
+        reached_start = wait(declared_lost, false);
         break;
-      case begins::after_its_worker_left: {
+      case start_time::after_worker_left: {
         fleet::fleet_request leave;
         leave.set_worker_leaves("a");
-        // Its runs are in the book until none of its heartbeats can come; what
-        // calls on is not gone yet.
-        came = boxes_.ask(leave).status() == fleet::fleet_ok && !given_up();
+        // The worker's runs stay in the book until no more heartbeats of it can
+        // arrive.
+        reached_start =
+            boxes_.ask(leave).status() == fleet::fleet_ok && !declared_lost();
         break;
       }
-      case begins::after_the_job_was_forgotten:
-        came = wait(
+      case start_time::after_job_forgotten:
+        reached_start = wait(
             [this] { return boxes_.book().find(job_number(job)) == nullptr; },
             true);
         break;
     }
-    worker_.begin(order_);
-    return came;
+    worker_.start_run(order_);
+    return reached_start;
   }
   template <typename condition>
-  bool wait(const condition& reached, bool calls) {
-    const time_point last = boxes_.clock.now() + long_enough;
+  bool wait(const condition& reached, bool heartbeats) {
+    const time_point last = boxes_.clock.now() + max_leader_timeout;
     while (!reached() && boxes_.clock.now() < last) {
-      boxes_.pass(call_pause);
-      if (calls) worker_.call();
+      boxes_.pass(heartbeat_interval);
+      if (heartbeats) worker_.send_heartbeat();
     }
     return reached();
   }
-  /// Both workers call; the other one has room for all of the job.
-  std::string calls() {
-    boxes_.pass(call_pause);
-    worker_.end_stopped();
-    const fleet::worker_orders orders = worker_.call();
+  /// Both workers send a heartbeat; the other worker has capacity for the whole
+  /// job.
+  std::string exchange_heartbeats() {
+    boxes_.pass(heartbeat_interval);
+    worker_.end_stopped_runs();
+    const fleet::worker_orders orders = worker_.send_heartbeat();
     if (orders.hold_ms() == 0) return "no orders";
-    if (orders.starts_size() > 0) return "the worker is told to start it";
-    if (other_.call().starts_size() > 0) return "it starts elsewhere";
-    if (!stops_all(worker_.beat(), orders)) return "an answer without the stop";
-    if (lost_ || case_.stop == first_stop::arrives) {
-      worker_.obey(orders);
+    if (orders.starts_size() > 0) return "the worker is told to start the task";
+    if (other_.send_heartbeat().starts_size() > 0)
+      return "the task starts on the other worker";
+    if (!stops_every_run(worker_.beat(), orders))
+      return "an answer lacks the stop order";
+    if (stop_dropped_ || case_.stop == first_stop_delivery::arrives) {
+      worker_.handle_orders(orders);
     } else {
-      lose_stop();
+      drop_stop();
     }
     return "";
   }
-  /// The next leader is the same box, at once: the worker's next call tells it
-  /// no more than the difference to what the box knew before.
-  void lose_stop() {
-    lost_ = true;
-    if (case_.stop != first_stop::is_lost_with_its_leader) return;
+  /// Drops the stop order. In the case `dropped_with_leader` the same box also
+  /// becomes the next leader at once: the worker's next heartbeat tells the box
+  /// only the difference to what the box knew before.
+  void drop_stop() {
+    stop_dropped_ = true;
+    if (case_.stop != first_stop_delivery::dropped_with_leader) return;
     boxes_.elect(boxes_.leads());
   }
-  std::string watch() {
-    const time_point last = boxes_.clock.now() + cancel_limit + stop_limit;
+  std::string check_until_stopped() {
+    const time_point last =
+        boxes_.clock.now() + max_cancel_delay + max_stop_time;
     while (!worker_.beat().running().empty()) {
-      if (boxes_.clock.now() >= last) return "it runs on";
-      std::string wrong = calls();
-      if (!wrong.empty()) return wrong;
+      if (boxes_.clock.now() >= last) return "the run goes on";
+      std::string violation = exchange_heartbeats();
+      if (!violation.empty()) return violation;
     }
     return "";
   }
-  std::string watch_after() {
-    const time_point last = boxes_.clock.now() + cancel_limit;
+  std::string check_after_stop() {
+    const time_point last = boxes_.clock.now() + max_cancel_delay;
     while (boxes_.clock.now() < last) {
-      std::string wrong = calls();
-      if (!wrong.empty()) return wrong;
+      std::string violation = exchange_heartbeats();
+      if (!violation.empty()) return violation;
     }
-    if (!worker_.beat().ended().empty()) return "its end is not taken note of";
-    if (!boxes_.book().runs().empty()) return "the book takes it to be alive";
+    if (!worker_.beat().ended().empty())
+      return "the end of the run is not acknowledged";
+    if (!boxes_.book().runs().empty()) return "the book lists the run as alive";
     return "";
   }
 
-  const late_case& case_;
-  boxes boxes_;
-  slow_worker worker_{boxes_, "a", case_.calls_by, 1'000};
-  slow_worker other_{boxes_, "b", road::direct, 4'000};
+  const cancel_case& case_;
+  control_boxes boxes_;
+  late_worker worker_{boxes_, "a", case_.route, 1'000};
+  late_worker other_{boxes_, "b", heartbeat_route::direct, 4'000};
   fleet::start_order order_;
-  bool lost_ = false;
+  bool stop_dropped_ = false;
 };
 
-std::vector<late_case> all_cases() {
-  const std::pair<const char*, starter> starters[] = {
-      {"ordered by this leader", starter::this_leader},
-      {"ordered by a box that is gone", starter::gone_box},
-      {"ordered in an earlier term", starter::earlier_term_of_this_box}};
-  const std::pair<const char*, begins> times[] = {
-      {"begun before the cancel", begins::before_cancel},
-      {"begun after the cancel", begins::after_cancel},
-      {"given up as never begun", begins::given_up_as_never_begun},
-      {"given up as silent", begins::given_up_as_silent},
-      {"begun after its worker left", begins::after_its_worker_left},
-      {"begun after the job was forgotten",
-       begins::after_the_job_was_forgotten}};
-  const std::pair<const char*, first_stop> stops[] = {
-      {"", first_stop::arrives},
-      {", first stop lost", first_stop::is_lost},
+std::vector<cancel_case> all_cases() {
+  const std::pair<const char*, issuer> issuers[] = {
+      {"ordered by this leader", issuer::current_leader},
+      {"ordered by the previous leader", issuer::previous_leader},
+      {"ordered in an earlier term", issuer::same_leader_earlier_term}};
+  const std::pair<const char*, start_time> times[] = {
+      {"started before the cancel", start_time::before_cancel},
+      {"started after the cancel", start_time::after_cancel},
+      {"declared lost as never started", start_time::declared_lost_unstarted},
+      {"declared lost as silent", start_time::declared_lost_silent},
+      {"started after its worker left", start_time::after_worker_left},
+      {"started after the job was forgotten", start_time::after_job_forgotten}};
+  const std::pair<const char*, first_stop_delivery> stops[] = {
+      {"", first_stop_delivery::arrives},
+      {", first stop lost", first_stop_delivery::dropped},
       {", first stop lost with its leader",
-       first_stop::is_lost_with_its_leader}};
-  std::vector<late_case> all;
-  for (const auto& [by, ordered_by] : starters) {
+       first_stop_delivery::dropped_with_leader}};
+  std::vector<cancel_case> cases;
+  for (const auto& [by, issued_by] : issuers) {
     for (const auto& [at, when] : times) {
-      for (const road calls_by : {road::direct, road::intake}) {
+      for (const heartbeat_route route :
+           {heartbeat_route::direct, heartbeat_route::intake}) {
         for (const auto& [lost, stop] : stops) {
           for (const bool draining : {false, true}) {
-            all.push_back({std::string(by) + ", " + at +
-                               (calls_by == road::intake ? ", passed on" : "") +
-                               lost + (draining ? ", draining" : ""),
-                           ordered_by, when, calls_by, stop, draining});
+            cases.push_back(
+                {std::string(by) + ", " + at +
+                     (route == heartbeat_route::intake ? ", forwarded" : "") +
+                     lost + (draining ? ", draining" : ""),
+                 issued_by, when, route, stop, draining});
           }
         }
       }
     }
   }
-  return all;
+  return cases;
 }
 
-/// The job is recorded; the start of its task is proposed and no more.
-void propose_start(boxes& all) {
-  all.leader().request(test_world::make_submit(job, {test_world::make_step(1)}),
-                       [](const auto&) {});
-  all.leader().decide();
-  all.record();
-  all.leader().decide();
-  LONGS_EQUAL(1, all.log().proposed.size());
+/// Commits the job, and proposes the start of its task without committing it.
+void propose_start(control_boxes& boxes) {
+  boxes.leader().request(
+      test_world::make_submit(job, {test_world::make_step(1)}),
+      [](const auto&) {});
+  boxes.leader().decide();
+  boxes.record();
+  boxes.leader().decide();
+  LONGS_EQUAL(1, boxes.log().proposed.size());
 }
 
 }  // namespace
 
 TEST_GROUP(cancelled_job){};
 
-TEST(cancelled_job, run_is_stopped_whoever_ordered_it_and_whenever_it_began) {
-  for (const late_case& it : all_cases()) {
-    STRCMP_EQUAL_TEXT("", late_play(it).run().c_str(), it.name.c_str());
+TEST(cancelled_job, run_is_stopped_for_every_leader_and_start_time) {
+  for (const cancel_case& it : all_cases()) {
+    STRCMP_EQUAL_TEXT("", cancel_scenario(it).run().c_str(), it.name.c_str());
   }
 }
 
-TEST(cancelled_job, all_kinds_of_steps_are_stopped_and_none_starts_again) {
+TEST(cancelled_job, steps_of_every_kind_are_stopped_for_good) {
   struct row {
     const char* name;
-    bool gang, lasting, speculative;
+    bool gang, long_running, speculative;
     uint32_t times;
   };
   const row rows[] = {{"gang", true, false, false, 0},
-                      {"lasting", false, true, false, 0},
+                      {"long-running", false, true, false, 0},
                       {"speculative", false, false, true, 0},
                       {"with times", false, false, false, 3}};
   for (const row& it : rows) {
-    boxes all;
+    control_boxes boxes;
     fleet::step_spec step = test_world::make_step(2);
     step.set_gang(it.gang);
-    step.set_long_running(it.lasting);
+    step.set_long_running(it.long_running);
     step.set_speculative(it.speculative);
     fleet::fleet_request submit = test_world::make_submit(job, {step, step});
     fleet::fleet_job_spec& spec = *submit.mutable_job()->mutable_submit();
@@ -254,123 +265,126 @@
     spec.set_times(it.times);
     spec.set_start_ms(1);
     spec.set_interval_ms(
-        static_cast<uint64_t>((all.clock.now() + milliseconds(500)).count()));
-    slow_worker worker(all, "a", road::direct, 2'000);
-    slow_worker other(all, "b", road::direct, 8'000);
-    all.ask(submit);
-    const fleet::worker_orders first = worker.call();
-    for (const auto& order : first.starts()) worker.begin(order);
+        static_cast<uint64_t>((boxes.clock.now() + milliseconds(500)).count()));
+    late_worker worker(boxes, "a", heartbeat_route::direct, 2'000);
+    late_worker other(boxes, "b", heartbeat_route::direct, 8'000);
+    boxes.ask(submit);
+    const fleet::worker_orders first = worker.send_heartbeat();
+    for (const auto& order : first.starts()) worker.start_run(order);
     LONGS_EQUAL_TEXT(2, worker.beat().running_size(), it.name);
-    LONGS_EQUAL_TEXT(fleet::fleet_ok, all.ask(cancel_call()).status(), it.name);
-    for (milliseconds at{0}; at < long_enough; at += call_pause) {
-      worker.end_stopped();
-      const fleet::worker_orders orders = worker.call();
-      CHECK_TRUE_TEXT(stops_all(worker.beat(), orders), it.name);
-      LONGS_EQUAL_TEXT(0, orders.starts_size() + other.call().starts_size(),
-                       it.name);
-      worker.obey(orders);
-      all.pass(call_pause);
+    LONGS_EQUAL_TEXT(fleet::fleet_ok, boxes.ask(make_cancel()).status(),
+                     it.name);
+    for (milliseconds at{0}; at < max_leader_timeout;
+         at += heartbeat_interval) {
+      worker.end_stopped_runs();
+      const fleet::worker_orders orders = worker.send_heartbeat();
+      CHECK_TRUE_TEXT(stops_every_run(worker.beat(), orders), it.name);
+      LONGS_EQUAL_TEXT(
+          0, orders.starts_size() + other.send_heartbeat().starts_size(),
+          it.name);
+      worker.handle_orders(orders);
+      boxes.pass(heartbeat_interval);
     }
     LONGS_EQUAL_TEXT(0, worker.beat().running_size(), it.name);
-    CHECK_TRUE_TEXT(all.book().runs().empty(), it.name);
+    CHECK_TRUE_TEXT(boxes.book().runs().empty(), it.name);
   }
 }
 
-TEST(cancelled_job, start_that_is_not_recorded_yet_is_not_sent) {
-  boxes all;
-  slow_worker worker(all, "a", road::direct, 1'000);
-  worker.call();
-  propose_start(all);
-  // The answer waits for it for a while, and then no longer.
+TEST(cancelled_job, uncommitted_start_is_not_sent) {
+  control_boxes boxes;
+  late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
+  worker.send_heartbeat();
+  propose_start(boxes);
+  // The answer waits for the start for a limited time.
   fleet::fleet_request request;
   *request.mutable_beat() = worker.beat();
   request.mutable_beat()->set_sequence(2);
   std::optional<fleet::fleet_response> answer;
-  all.leader().request(request, [&](const auto& it) { answer = it; });
-  all.leader().decide();
+  boxes.leader().request(request, [&](const auto& it) { answer = it; });
+  boxes.leader().decide();
   CHECK_FALSE(answer.has_value());
-  all.clock.advance(milliseconds(500));
-  all.leader().decide();
+  boxes.clock.advance(milliseconds(500));
+  boxes.leader().decide();
   CHECK_TRUE(answer.has_value());
   LONGS_EQUAL(0, answer->orders().starts_size());
-  // With its box the start is gone for good: nobody takes it to be alive.
-  all.elect(1);
-  CHECK_TRUE(all.book().runs().empty());
-  LONGS_EQUAL(fleet::fleet_ok, all.ask(cancel_call()).status());
-  worker.skip_call();
-  LONGS_EQUAL(0, worker.call().starts_size());
+  // The start is lost with its leader: no book lists the run as alive.
+  boxes.elect(1);
+  CHECK_TRUE(boxes.book().runs().empty());
+  LONGS_EQUAL(fleet::fleet_ok, boxes.ask(make_cancel()).status());
+  worker.skip_heartbeat();
+  LONGS_EQUAL(0, worker.send_heartbeat().starts_size());
 }
 
-TEST(cancelled_job, cancel_is_acknowledged_once_it_is_recorded) {
+TEST(cancelled_job, cancel_is_acknowledged_once_it_is_committed) {
   struct row {
     const char* name;
-    bool leader_goes_first;
+    bool leader_lost_first;
     fleet::fleet_status status;
   };
-  const row rows[] = {{"recorded", false, fleet::fleet_ok},
-                      {"its leader went first", true, fleet::fleet_unknown}};
+  const row rows[] = {{"committed", false, fleet::fleet_ok},
+                      {"its leader is lost first", true, fleet::fleet_unknown}};
   for (const row& it : rows) {
-    boxes all;
-    all.ask(test_world::make_submit(job, {test_world::make_step(1)}));
+    control_boxes boxes;
+    boxes.ask(test_world::make_submit(job, {test_world::make_step(1)}));
     std::optional<fleet::fleet_status> status;
-    all.leader().request(cancel_call(),
-                         [&](const auto& r) { status = r.status(); });
-    all.leader().decide();
+    boxes.leader().request(make_cancel(),
+                           [&](const auto& r) { status = r.status(); });
+    boxes.leader().decide();
     CHECK_FALSE_TEXT(status.has_value(), it.name);
-    if (it.leader_goes_first) all.elect(1);
-    all.commit();
+    if (it.leader_lost_first) boxes.elect(1);
+    boxes.commit();
     CHECK_TRUE_TEXT(status == it.status, it.name);
-    const bool live = all.book().find(job_number(job))->live();
-    CHECK_EQUAL_TEXT(it.leader_goes_first, live, it.name);
+    const bool live = boxes.book().find(job_number(job))->live();
+    CHECK_EQUAL_TEXT(it.leader_lost_first, live, it.name);
   }
 }
 
-TEST(cancelled_job, start_beside_the_cancel_in_the_log_is_stopped_or_void) {
+TEST(cancelled_job, start_next_to_the_cancel_in_the_log_is_stopped_or_ignored) {
   struct row {
     const char* name;
     bool start_first;
     int stops;
   };
-  const row rows[] = {{"the start is recorded first", true, 1},
-                      {"the cancel is recorded first", false, 0}};
+  const row rows[] = {{"the start is committed first", true, 1},
+                      {"the cancel is committed first", false, 0}};
   for (const row& it : rows) {
-    boxes all;
-    slow_worker worker(all, "a", road::direct, 1'000);
-    worker.call();
-    propose_start(all);
+    control_boxes boxes;
+    late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
+    worker.send_heartbeat();
+    propose_start(boxes);
     fleet::fleet_request request;
     *request.mutable_beat() = worker.beat();
     request.mutable_beat()->set_sequence(2);
     std::optional<fleet::fleet_response> answer;
-    all.leader().request(request, [&](const auto& r) { answer = r; });
-    all.leader().request(cancel_call(), [](const auto&) {});
-    all.leader().decide();
-    LONGS_EQUAL_TEXT(2, all.log().proposed.size(), it.name);
+    boxes.leader().request(request, [&](const auto& r) { answer = r; });
+    boxes.leader().request(make_cancel(), [](const auto&) {});
+    boxes.leader().decide();
+    LONGS_EQUAL_TEXT(2, boxes.log().proposed.size(), it.name);
     if (!it.start_first) {
-      std::swap(all.log().proposed[0], all.log().proposed[1]);
+      std::swap(boxes.log().proposed[0], boxes.log().proposed[1]);
     }
-    all.commit();
+    boxes.commit();
     CHECK_TRUE_TEXT(answer.has_value(), it.name);
     LONGS_EQUAL_TEXT(0, answer->orders().starts_size(), it.name);
     LONGS_EQUAL_TEXT(it.stops, answer->orders().stops_size(), it.name);
   }
 }
 
-TEST(cancelled_job, it_is_known_while_a_run_of_it_is_alive) {
-  boxes all;
-  slow_worker worker(all, "a", road::direct, 1'000);
-  slow_worker other(all, "b", road::direct, 4'000);
+TEST(cancelled_job, job_is_kept_while_a_run_of_it_is_alive) {
+  control_boxes boxes;
+  late_worker worker(boxes, "a", heartbeat_route::direct, 1'000);
+  late_worker other(boxes, "b", heartbeat_route::direct, 4'000);
   const fleet::fleet_request submit =
       test_world::make_submit(job, {test_world::make_step(2)});
-  all.ask(submit);
-  worker.begin(worker.call().starts(0));
-  all.ask(cancel_call());
-  // Each stop is lost. Its caller sends the job once more.
-  for (milliseconds at{0}; at < long_enough; at += call_pause) {
-    LONGS_EQUAL(1, worker.call().stops_size());
-    LONGS_EQUAL(fleet::fleet_ok, all.ask(submit).status());
-    LONGS_EQUAL(0, other.call().starts_size());
-    all.pass(call_pause);
+  boxes.ask(submit);
+  worker.start_run(worker.send_heartbeat().starts(0));
+  boxes.ask(make_cancel());
+  // Every stop order is lost, and the caller submits the job again.
+  for (milliseconds at{0}; at < max_leader_timeout; at += heartbeat_interval) {
+    LONGS_EQUAL(1, worker.send_heartbeat().stops_size());
+    LONGS_EQUAL(fleet::fleet_ok, boxes.ask(submit).status());
+    LONGS_EQUAL(0, other.send_heartbeat().starts_size());
+    boxes.pass(heartbeat_interval);
   }
-  CHECK_TRUE(all.book().find(job_number(job)) != nullptr);
+  CHECK_TRUE(boxes.book().find(job_number(job)) != nullptr);
 }
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -1,5 +1,5 @@
-// What the tests of cancelled jobs share: control boxes that follow each other
-// as leaders, and workers that carry orders out late.
+// Shared by the tests of cancelled jobs: control boxes that lead in turn, and
+// workers that carry out orders late.
 #pragma once
 
 #include <memory>
@@ -13,29 +13,31 @@
 namespace kestrelreel::cancelled {
 
 constexpr uint64_t job = 7;
-/// The least that the users allow: from a cancel's acknowledgement, or a late
-/// start after it, until the run is told to stop; and for stopping itself.
-constexpr milliseconds cancel_limit{3'000};
-constexpr milliseconds stop_limit{900};
-constexpr milliseconds call_pause{200};
-/// An answer that travels longer is dropped.
-constexpr milliseconds late_answer{900};
-/// Longer than a run is waited for that may never have begun or is silent, so
-/// that a job outlives those runs.
-constexpr milliseconds keep_jobs{5'000};
-/// Longer than what the leader waits for before it gives up on a run, or
-/// forgets a job.
-constexpr milliseconds long_enough{12'000};
+/// Strictest limit of the users, from the acknowledgement of a cancel, or from
+/// a late start after it, until the run is told to stop.
+constexpr milliseconds max_cancel_delay{3'000};
+/// Strictest limit of the users from the order to stop a run until its end.
+constexpr milliseconds max_stop_time{900};
+constexpr milliseconds heartbeat_interval{200};
+/// An answer that takes longer is dropped.
+constexpr milliseconds answer_expiry{900};
+/// How long finished jobs are kept. Exceeds the time until a run that never
+/// started or is silent is declared lost, so that a job outlives its runs.
+constexpr milliseconds job_retention{5'000};
+/// Exceeds the time after which the leader declares a run lost or forgets a
+/// job.
+constexpr milliseconds max_leader_timeout{12'000};
 
-enum class road { direct, intake };
+/// Whether heartbeats go to the leader or through another box.
+enum class heartbeat_route { direct, intake };
 
-/// Two control boxes that share a log, one of which leads, and a third one that
-/// takes in heartbeats.
-class boxes {
+/// Two control boxes with a shared log, one of which leads, and a third box
+/// that forwards heartbeats.
+class control_boxes {
  public:
-  boxes() {
+  control_boxes() {
     controller_settings settings = test_world::make_settings();
-    settings.finished_job_retention = keep_jobs;
+    settings.finished_job_retention = job_retention;
     settings.wall_clock_ms = [this] {
       return static_cast<uint64_t>(clock.now().count());
     };
@@ -49,21 +51,22 @@
     ask(config);
   }
 
-  fleet_controller& leader() { return *controllers_[leads_]; }
-  test_log& log() { return logs_[leads_]; }
+  fleet_controller& leader() { return *controllers_[leader_index_]; }
+  test_log& log() { return logs_[leader_index_]; }
   const job_book& book() { return leader().book(); }
-  size_t leads() const { return leads_; }
+  size_t leads() const { return leader_index_; }
 
-  /// What the earlier leader had not got recorded is lost.
+  /// Makes a box the leader. Uncommitted proposals of the previous leader are
+  /// lost.
   void elect(size_t box) {
     leader().set_leading(false);
     log().proposed.clear();
-    leads_ = box;
+    leader_index_ = box;
     log().leader_term = ++term_;
     leader().set_leading(true);
     commit();
   }
-  /// Records what was proposed, on both boxes.
+  /// Applies the proposed commands on both boxes.
   void record() {
     while (!log().proposed.empty()) {
       const fleet::fleet_command command = log().proposed.front();
@@ -72,8 +75,8 @@
     }
   }
   void commit() {
-    constexpr int most_rounds = 20;
-    for (int i = 0; i < most_rounds; ++i) {
+    constexpr int max_rounds = 20;
+    for (int i = 0; i < max_rounds; ++i) {
       record();
       leader().decide();
       if (log().proposed.empty()) return;
@@ -94,15 +97,15 @@
     commit();
     return last_;
   }
-  /// A heartbeat that the third box passes on.
-  fleet::fleet_response pass_on(const fleet::worker_beat& beat) {
+  /// Sends a heartbeat through the third box.
+  fleet::fleet_response forward(const fleet::worker_beat& beat) {
     last_ = fleet::fleet_response();
     intake_.take(beat,
                  [this](fleet::fleet_response it) { last_ = std::move(it); });
     while (intake_.has_pending_calls()) {
       answers_.clear_answers();
       leader().take_heartbeats(
-          intake_.collect(std::to_string(leads_)),
+          intake_.collect(std::to_string(leader_index_)),
           [this](const auto& it) { *answers_.add_answers() = it; });
       commit();
       intake_.handle_answers(answers_);
@@ -116,40 +119,42 @@
   metrics_registry metrics_;
   test_log logs_[2];
   std::vector<std::unique_ptr<fleet_controller>> controllers_;
-  size_t leads_ = 0;
+  size_t leader_index_ = 0;
   uint64_t term_ = 0;
   heartbeat_intake intake_{{}, clock, metrics_};
   fleet::beat_answers answers_;
   fleet::fleet_response last_;
 };
 
-/// A worker that may carry out an order late, even one that it was told to stop
-/// in between.
-class slow_worker {
+/// A worker that may carry out a start order late, even after the order to stop
+/// that run.
+class late_worker {
  public:
-  slow_worker(boxes& all, const char* name, road calls_by, uint64_t cpu_milli)
-      : boxes_(all), road_(calls_by) {
+  late_worker(control_boxes& boxes, const char* name, heartbeat_route route,
+              uint64_t cpu_milli)
+      : boxes_(boxes), route_(route) {
     beat_.set_worker(name);
     beat_.set_pool("pool");
     beat_.set_cpu_milli(cpu_milli);
     beat_.set_memory_mb(1'000);
   }
 
-  fleet::worker_orders call() {
+  fleet::worker_orders send_heartbeat() {
     beat_.set_sequence(beat_.sequence() + 1);
     beat_.set_clock_ms(static_cast<uint64_t>(boxes_.clock.now().count()));
-    if (road_ == road::intake) return boxes_.pass_on(beat_).orders();
+    if (route_ == heartbeat_route::intake)
+      return boxes_.forward(beat_).orders();
     fleet::fleet_request request;
     *request.mutable_beat() = beat_;
     return boxes_.ask(request).orders();
   }
-  void begin(const fleet::start_order& order) {
+  void start_run(const fleet::start_order& order) {
     fleet::running_row& row = *beat_.add_running();
     *row.mutable_task() = order.task();
     row.set_run(order.run());
   }
-  /// Takes in an answer: what it is told to stop ends a while later.
-  void obey(const fleet::worker_orders& orders) {
+  /// Handles an answer. Runs that are told to stop end later.
+  void handle_orders(const fleet::worker_orders& orders) {
     while (!beat_.ended().empty() &&
            beat_.ended(0).number() <= orders.last_end()) {
       beat_.mutable_ended()->DeleteSubrange(0, 1);
@@ -157,9 +162,11 @@
     if (orders.stops().empty() || stopped_at_) return;
     stopped_at_ = boxes_.clock.now();
   }
-  /// All that it runs was told to stop: it ends once that took its time.
-  void end_stopped() {
-    if (!stopped_at_ || boxes_.clock.now() - *stopped_at_ < stop_limit) return;
+  /// Ends all runs once `max_stop_time` has passed since the order to stop
+  /// them.
+  void end_stopped_runs() {
+    if (!stopped_at_ || boxes_.clock.now() - *stopped_at_ < max_stop_time)
+      return;
     for (const fleet::running_row& row : beat_.running()) {
       fleet::run_end& end = *beat_.add_ended();
       end.set_number(++ends_);
@@ -170,19 +177,19 @@
     beat_.clear_running();
   }
   void drain() { beat_.set_draining(true); }
-  /// A call of it that the test made by hand.
-  void skip_call() { beat_.set_sequence(beat_.sequence() + 1); }
+  /// Accounts for a heartbeat that the test sent itself.
+  void skip_heartbeat() { beat_.set_sequence(beat_.sequence() + 1); }
   const fleet::worker_beat& beat() const { return beat_; }
 
  private:
-  boxes& boxes_;
-  road road_;
+  control_boxes& boxes_;
+  heartbeat_route route_;
   fleet::worker_beat beat_;
   uint64_t ends_ = 0;
   std::optional<time_point> stopped_at_;
 };
 
-inline fleet::fleet_request cancel_call() {
+inline fleet::fleet_request make_cancel() {
   fleet::fleet_request request = test_world::make_call(job);
   request.mutable_job()->set_cancel(true);
   return request;
--- a/fleet/late-intake-test.cc
+++ b/fleet/late-intake-test.cc
@@ -5,7 +5,7 @@
 #include "fleet/busy-leader-test-rows.h"
 
 using namespace kestrelreel;
-using busy::setting;
+using busy::scenario;
 
 namespace {
 
@@ -22,16 +22,16 @@
 };
 
 busy::outcome run_row(const row& it) {
-  setting world_setting{it.name, 880, {}};
+  scenario world_setting{it.name, 880, {}};
   world_setting.jobs_per_s = 40;
-  world_setting.sends_home = true;
+  world_setting.returns_to_first_box = true;
   constexpr milliseconds start{3'000};
   constexpr milliseconds length{10'000};
   busy::busy_world world(world_setting);
   world.pass(start);
-  world.delay(it.boxes, it.answers, it.calls);
+  world.delay_boxes(it.boxes, it.answers, it.calls);
   world.pass(length);
-  world.delay(it.boxes, milliseconds(0), milliseconds(0));
+  world.delay_boxes(it.boxes, milliseconds(0), milliseconds(0));
   world.pass(start);
   return world.out();
 }
@@ -56,11 +56,11 @@
   };
   for (const row& it : rows) {
     const busy::outcome out = run_row(it);
-    STRCMP_EQUAL_TEXT("", out.wrong.c_str(), it.name);
+    STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     CHECK_TRUE_TEXT(out.done > 0, it.name);
-    busy::check_within(it.max_unread_time, out.longest_unread, it.name,
+    busy::check_within(it.max_unread_time, out.longest_read_gap, it.name,
                        "unread");
-    LONGS_EQUAL_TEXT(0, out.started_again, it.name);
+    LONGS_EQUAL_TEXT(0, out.restarts_after_success, it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, it.name);
   }
 }
--- a/fleet/other-writer-test.cc
+++ b/fleet/other-writer-test.cc
@@ -12,8 +12,8 @@
 #include "fleet/cancelled-test-world.h"
 
 using namespace kestrelreel;
-using cancelled::boxes;
-using cancelled::road;
+using cancelled::control_boxes;
+using cancelled::heartbeat_route;
 
 namespace {
 
@@ -24,7 +24,8 @@
 /// The real worker: it starts the runs that it is ordered and never ends them.
 class real_worker {
  public:
-  real_worker(boxes& all, road calls_via) : boxes_(all), road_(calls_via) {
+  real_worker(control_boxes& all, heartbeat_route calls_via)
+      : boxes_(all), route_(calls_via) {
     beat_.set_worker("i-1");
     beat_.set_born(born);
     beat_.set_pool("pool");
@@ -45,7 +46,7 @@
     return orders;
   }
   fleet::fleet_response send(const fleet::worker_beat& beat) {
-    if (road_ == road::intake) return boxes_.pass_on(beat);
+    if (route_ == heartbeat_route::intake) return boxes_.forward(beat);
     fleet::fleet_request request;
     *request.mutable_beat() = beat;
     return boxes_.ask(request);
@@ -53,8 +54,8 @@
   const fleet::worker_beat& beat() const { return beat_; }
 
  private:
-  boxes& boxes_;
-  road road_;
+  control_boxes& boxes_;
+  heartbeat_route route_;
   fleet::worker_beat beat_;
 };
 
@@ -111,13 +112,13 @@
 }  // namespace
 
 TEST_GROUP(other_writer){
-    static void configure(boxes & all){fleet::fleet_request request;
+    static void configure(control_boxes & all){fleet::fleet_request request;
 fleet::fleet_config& config = *request.mutable_put_config();
 config = test_world::make_config(2);
 config.add_pools()->set_name("other");
 all.ask(request);
 }
-static void start_two_runs(boxes& all, real_worker& it) {
+static void start_two_runs(control_boxes& all, real_worker& it) {
   it.call();
   fleet::step_spec long_running_step = test_world::make_step(1);
   long_running_step.set_long_running(true);
@@ -141,9 +142,10 @@
 ;
 
 TEST(other_writer, copy_under_a_workers_id_changes_state) {
-  for (const road by : {road::direct, road::intake}) {
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
     for (const row& it : rows) {
-      boxes all;
+      control_boxes all;
       configure(all);
       real_worker worker(all, by);
       start_two_runs(all, worker);
@@ -199,8 +201,9 @@
 }
 
 TEST(other_writer, unknown_id_with_unknown_pool_is_accepted) {
-  for (const road by : {road::direct, road::intake}) {
-    boxes all;
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
+    control_boxes all;
     configure(all);
     real_worker worker(all, by);
     start_two_runs(all, worker);
@@ -221,8 +224,9 @@
 // A copy is accepted as the worker's next call. The worker's own later
 // heartbeat takes precedence by its clock, although its sequence is lower.
 TEST(other_writer, sequence_of_copy_blocks_the_worker) {
-  for (const road by : {road::direct, road::intake}) {
-    boxes all;
+  for (const heartbeat_route by :
+       {heartbeat_route::direct, heartbeat_route::intake}) {
+    control_boxes all;
     configure(all);
     real_worker worker(all, by);
     start_two_runs(all, worker);
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -1,5 +1,5 @@
-// One control box of a seeded world: the real replica, controller and lease on
-// a disk in memory, joined as the box's service joins them.
+// One control box of a seeded simulation: the real replica, controller and
+// lease on an in-memory disk, wired as in the box's service.
 #pragma once
 
 #include <deque>
@@ -20,27 +20,28 @@
 constexpr milliseconds tick_interval{100};
 constexpr milliseconds settle_interval{15};
 constexpr milliseconds lease_time{650};
+/// Log entries after which a snapshot is taken.
 constexpr uint64_t snapshot_entries = 40;
-constexpr uint64_t most_tasks = 25;
+constexpr uint64_t max_tasks = 25;
 
-/// A replica that crashes, is held up, and whose disk is slow or full.
+/// A replica that can crash or pause, and whose disk can be slow or full.
 class control_box final : public replica_host,
                           public blocking_queue,
                           public fleet_log {
  public:
   using send_function = std::function<void(const proto::raft_message&)>;
 
-  control_box(std::string name, std::vector<std::string> all,
+  control_box(std::string name, std::vector<std::string> box_names,
               clock_source& clock, random_source& random, send_function send)
       : name_(std::move(name)),
-        all_(std::move(all)),
+        box_names_(std::move(box_names)),
         clock_(clock),
         random_(random),
         send_(std::move(send)) {}
 
   void start() {
     controller_settings settings = test_world::make_settings();
-    settings.max_live_tasks = most_tasks;
+    settings.max_live_tasks = max_tasks;
     lease_ = std::make_unique<leader_lease>(lease_time);
     controller_ =
         std::make_unique<fleet_controller>(settings, clock_, *this, metrics_);
@@ -61,7 +62,7 @@
                                          *this, *this, compaction);
   }
 
-  /// What waits for an answer never gets one.
+  /// Crashes the box. Waiting requests are never answered.
   void crash() {
     replica_.reset();
     controller_.reset();
@@ -70,7 +71,7 @@
   }
 
   bool up() const { return replica_ != nullptr; }
-  bool runs() const { return up() && clock_.now() >= held_until; }
+  bool is_running() const { return up() && clock_.now() >= paused_until; }
   const std::string& name() const { return name_; }
   const fleet_controller& controller() const { return *controller_; }
   const raft& state() const { return replica_->state(); }
@@ -86,14 +87,14 @@
     controller_->request(request, respond);
   }
 
-  /// A planned stop, or a slow disk's.
-  void hand_over() {
+  /// Transfers leadership, as before a planned stop or with a slow disk.
+  void transfer_leadership() {
     replica_->transfer_leadership();
     check_role();
   }
 
-  /// What its timers and its disk do by now.
-  void live() {
+  /// Runs the timers and disk writes that are due.
+  void run_timers_and_disk() {
     run_disk();
     if (clock_.now() - ticked_at_ >= tick_interval) tick();
     if (clock_.now() - settled_at_ < settle_interval) return;
@@ -134,23 +135,23 @@
     FAIL(std::string(status.message()).c_str());
   }
 
-  time_point held_until{};
+  time_point paused_until{};
   time_point full_until{};
-  time_point deaf_until{};
-  time_point mute_until{};
-  /// One write in so many takes long.
+  time_point no_receive_until{};
+  time_point no_send_until{};
+  /// One of this many writes is slow.
   uint64_t slow_one_in = 1'000'000;
 
  private:
   struct pending_write {
-    time_point lasts;
+    time_point completes_at;
     std::function<absl::Status()> work;
     std::function<void(absl::Status)> done;
   };
 
   proto::membership founders() const {
     proto::membership members;
-    for (const std::string& it : all_) {
+    for (const std::string& it : box_names_) {
       proto::replica& voter = *members.add_voters();
       voter.set_box(it);
       voter.set_identity("founder");
@@ -159,7 +160,7 @@
   }
 
   void run_disk() {
-    while (!writes_.empty() && writes_.front().lasts <= clock_.now()) {
+    while (!writes_.empty() && writes_.front().completes_at <= clock_.now()) {
       const pending_write it = std::move(writes_.front());
       writes_.pop_front();
       const bool full = clock_.now() < full_until;
@@ -181,7 +182,7 @@
   }
 
   std::string name_;
-  std::vector<std::string> all_;
+  std::vector<std::string> box_names_;
   clock_source& clock_;
   random_source& random_;
   send_function send_;
--- a/fleet/refused-test-world.h
+++ b/fleet/refused-test-world.h
@@ -1,6 +1,5 @@
-// Several control boxes with real logs on a virtual clock, callers at any of
-// them, and workers. Every answer is kept; once all is calm the books are held
-// against the answers.
+// Simulates control boxes with real logs, callers and workers on a virtual
+// clock. After the faults, the job books are checked against all answers.
 #pragma once
 
 #include <algorithm>
@@ -17,26 +16,27 @@
 namespace kestrelreel::refused {
 
 constexpr milliseconds step_time{5};
-constexpr milliseconds calm_time{12'000};
-/// The end of the calm, in which nothing is asked any more.
-constexpr milliseconds quiet_time{3'000};
+/// Time at the end of a run without faults, new jobs and cancels.
+constexpr milliseconds recovery_time{12'000};
+/// Final part of `recovery_time`, without new configurations either.
+constexpr milliseconds no_config_time{3'000};
 constexpr int boxes = 5;
 constexpr int workers = 3;
 
-/// What goes wrong, each in one of so many steps or messages; 0: never.
+/// Faults, each in one of `n` steps or messages; 0: never.
 struct faults {
   const char* name;
   unsigned lose = 0;
-  unsigned held = 0;
+  unsigned pause = 0;
   unsigned cut = 0;
   unsigned crash = 0;
   unsigned full = 0;
   unsigned slow_disk = 0;
-  unsigned hand_over = 0;
+  unsigned transfer_leadership = 0;
 };
 
-/// What the callers were told, and what the logs did with it.
-struct tally {
+/// Counts the answers to callers, and what became of the jobs.
+struct answer_counts {
   int ok = 0;
   int unavailable = 0;
   int refused = 0;
@@ -44,11 +44,11 @@
   int invalid = 0;
   int unknown = 0;
   int unanswered = 0;
-  // Of those who may have been taken.
-  int taken = 0;
+  // Jobs with unclear answers: in the books, or not.
+  int accepted = 0;
   int lost = 0;
-  // Jobs that were told so at every try.
-  int not_taken = 0;
+  // Jobs that were answered "not accepted" at every attempt.
+  int not_accepted = 0;
   int started = 0;
   uint64_t terms = 0;
 };
@@ -70,27 +70,28 @@
     }
   }
 
-  /// Empty, or the first promise that was broken.
+  /// Returns a violated promise, or an empty string.
   std::string run(milliseconds length) {
     const time_point end = clock_.now() + length;
-    while (clock_.now() < end) one_step(true);
+    while (clock_.now() < end) step(true);
     for (const auto& it : boxes_) {
-      it->held_until = it->full_until = it->deaf_until = it->mute_until = {};
+      it->paused_until = it->full_until = it->no_receive_until =
+          it->no_send_until = {};
       it->slow_one_in = 1'000'000;
     }
     faults_ = {};
-    const time_point calm = clock_.now() + calm_time;
-    while (clock_.now() < calm) {
-      asks_ = clock_.now() < calm - quiet_time;
-      one_step(false);
+    const time_point recovery_end = clock_.now() + recovery_time;
+    while (clock_.now() < recovery_end) {
+      configures_ = clock_.now() < recovery_end - no_config_time;
+      step(false);
     }
-    return judge();
+    return check_promises();
   }
 
-  const tally& count() const { return tally_; }
+  const answer_counts& count() const { return counts_; }
 
  private:
-  struct letter {
+  struct delivery {
     time_point arrives;
     int to;
     proto::raft_message m;
@@ -108,10 +109,10 @@
   };
   struct worker {
     fleet::worker_beat beat;
-    std::map<std::string, time_point> began;
+    std::map<std::string, time_point> start_times;
     uint64_t ends = 0;
-    uint64_t out = 0;
-    time_point called{};
+    uint64_t pending = 0;
+    time_point heartbeat_sent{};
   };
 
   bool one_in(unsigned n) { return n > 0 && random_.below(n) == 0; }
@@ -125,65 +126,67 @@
 
   void post(const proto::raft_message& m) {
     control_box& from = *boxes_[index_of(m.from())];
-    if (clock_.now() < from.mute_until || one_in(faults_.lose)) return;
+    if (clock_.now() < from.no_send_until || one_in(faults_.lose)) return;
     const milliseconds late = one_in(60) ? up_to(300) : up_to(8);
-    letters_.push_back({clock_.now() + late, index_of(m.to()), m});
+    deliveries_.push_back({clock_.now() + late, index_of(m.to()), m});
   }
 
   void deliver() {
-    std::vector<letter> due;
-    std::erase_if(letters_, [&](letter& it) {
+    std::vector<delivery> due;
+    std::erase_if(deliveries_, [&](delivery& it) {
       const control_box& to = *boxes_[it.to];
-      if (to.up() && !to.runs()) return false;
+      if (to.up() && !to.is_running()) return false;
       if (it.arrives > clock_.now()) return false;
-      if (to.up() && clock_.now() >= to.deaf_until) due.push_back(it);
+      if (to.up() && clock_.now() >= to.no_receive_until) due.push_back(it);
       return true;
     });
-    for (const letter& it : due) {
+    for (const delivery& it : due) {
       if (boxes_[it.to]->up()) boxes_[it.to]->receive(it.m);
     }
     std::vector<relayed_call> calls;
     std::erase_if(calls_, [&](relayed_call& it) {
       const control_box& to = *boxes_[it.to];
-      if (it.arrives > clock_.now() || (to.up() && !to.runs())) return false;
+      if (it.arrives > clock_.now() || (to.up() && !to.is_running()))
+        return false;
       calls.push_back(std::move(it));
       return true;
     });
     for (const relayed_call& it : calls) arrived(it);
   }
 
-  void disturb() {
+  void inject_faults() {
     control_box& it = any_box();
     const time_point now = clock_.now();
-    if (one_in(faults_.held)) it.held_until = now + up_to(2'500);
-    if (one_in(faults_.cut)) it.deaf_until = now + up_to(3'000);
-    if (one_in(faults_.cut)) it.mute_until = now + up_to(3'000);
+    if (one_in(faults_.pause)) it.paused_until = now + up_to(2'500);
+    if (one_in(faults_.cut)) it.no_receive_until = now + up_to(3'000);
+    if (one_in(faults_.cut)) it.no_send_until = now + up_to(3'000);
     if (one_in(faults_.full)) it.full_until = now + up_to(2'000);
-    if (one_in(faults_.hand_over) && it.runs()) it.hand_over();
+    if (one_in(faults_.transfer_leadership) && it.is_running())
+      it.transfer_leadership();
     if (one_in(faults_.crash) && it.up()) {
       it.crash();
-      it.held_until = now + up_to(1'500);
+      it.paused_until = now + up_to(1'500);
     }
   }
 
-  void one_step(bool callers) {
+  void step(bool callers) {
     clock_.advance(step_time);
-    if (callers) disturb();
+    if (callers) inject_faults();
     for (const auto& it : boxes_) {
-      if (!it->up() && clock_.now() >= it->held_until) it->start();
+      if (!it->up() && clock_.now() >= it->paused_until) it->start();
     }
     deliver();
     for (const auto& it : boxes_) {
-      if (it->runs()) it->live();
+      if (it->is_running()) it->run_timers_and_disk();
     }
     if (callers && one_in(3)) submit();
     if (callers && one_in(4)) cancel();
-    if (asks_ && (one_in(150) || configs_.empty())) configure(callers);
-    for (worker& it : workers_) call(it);
+    if (configures_ && (one_in(150) || configs_.empty())) configure(callers);
+    for (worker& it : workers_) send_heartbeat(it);
   }
 
-  /// As a control box does with a caller's request. One that is held up gets
-  /// to it later; one that is down answers nothing.
+  /// Sends a request to a random box. A paused box handles it later; a crashed
+  /// box does not answer.
   void ask(const fleet::fleet_request& request,
            const fleet_controller::respond_function& respond) {
     const auto to = static_cast<int>(random_.below(boxes));
@@ -194,15 +197,15 @@
     control_box& it = *boxes_[call.to];
     if (!it.up()) return;
     const std::string& leader = it.state().leader();
-    const bool here =
+    const bool handled_here =
         it.leads() || call.relayed || leader.empty() || leader == it.name();
-    if (here) return it.request(call.request, call.respond);
+    if (handled_here) return it.request(call.request, call.respond);
     const auto to = index_of(leader);
     calls_.push_back(
         {clock_.now() + up_to(8), to, true, call.request, call.respond});
   }
 
-  /// A new job, or one that a caller hands in again.
+  /// Submits a new job, or an earlier one again.
   void submit() {
     uint64_t job = jobs_.size();
     if (job > 0 && one_in(4)) {
@@ -235,7 +238,7 @@
     ask(request, [](const fleet::fleet_response&) {});
   }
 
-  /// Some configurations lack the queue.
+  /// Submits a configuration; some of them lack the queue.
   void configure(bool callers) {
     fleet::fleet_request request;
     fleet::fleet_config config = test_world::make_config(++version_);
@@ -249,13 +252,14 @@
     });
   }
 
-  void call(worker& it) {
+  void send_heartbeat(worker& it) {
     const time_point now = clock_.now();
-    if (now - it.called < milliseconds(it.out > 0 ? 900 : 200)) return;
+    if (now - it.heartbeat_sent < milliseconds(it.pending > 0 ? 900 : 200))
+      return;
     for (auto row = it.beat.mutable_running()->begin();
          row != it.beat.mutable_running()->end();) {
       const std::string key = to_text(to_key(row->task()));
-      if (now - it.began[key] < milliseconds(300)) {
+      if (now - it.start_times[key] < milliseconds(300)) {
         ++row;
         continue;
       }
@@ -266,26 +270,26 @@
       end.set_outcome(fleet::run_done);
       row = it.beat.mutable_running()->erase(row);
     }
-    it.called = now;
+    it.heartbeat_sent = now;
     it.beat.set_pool("pool");
     it.beat.set_address(it.beat.worker() + ":1");
     it.beat.set_cpu_milli(4'000);
     it.beat.set_memory_mb(1'000);
     it.beat.set_sequence(it.beat.sequence() + 1);
     it.beat.set_clock_ms(static_cast<uint64_t>(now.count()));
-    it.out = it.beat.sequence();
+    it.pending = it.beat.sequence();
     for (const auto& box : boxes_) {
-      if (!box->runs() || !box->leads()) continue;
+      if (!box->is_running() || !box->leads()) continue;
       fleet::fleet_request request;
       *request.mutable_beat() = it.beat;
-      box->request(request, [this, &it, n = it.out](const auto& response) {
-        if (it.out == n) take(it, response.orders());
+      box->request(request, [this, &it, n = it.pending](const auto& response) {
+        if (it.pending == n) take(it, response.orders());
       });
     }
   }
 
   void take(worker& it, const fleet::worker_orders& orders) {
-    it.out = 0;
+    it.pending = 0;
     if (orders.hold_ms() == 0) return;
     std::vector<fleet::run_end> rest;
     for (const fleet::run_end& end : it.beat.ended()) {
@@ -296,81 +300,84 @@
       fleet::running_row& row = *it.beat.add_running();
       *row.mutable_task() = start.task();
       row.set_run(start.run());
-      it.began[to_text(to_key(start.task()))] = clock_.now();
+      it.start_times[to_text(to_key(start.task()))] = clock_.now();
       started_.insert(to_key(start.task()).job);
-      ++tally_.started;
+      ++counts_.started;
     }
   }
 
   void count(const std::optional<fleet::fleet_status>& it) {
     if (!it)
-      ++tally_.unanswered;
+      ++counts_.unanswered;
     else if (*it == fleet::fleet_ok)
-      ++tally_.ok;
+      ++counts_.ok;
     else if (*it == fleet::fleet_unavailable)
-      ++tally_.unavailable;
+      ++counts_.unavailable;
     else if (*it == fleet::fleet_refused)
-      ++tally_.refused;
+      ++counts_.refused;
     else if (*it == fleet::fleet_no_queue)
-      ++tally_.no_queue;
+      ++counts_.no_queue;
     else if (*it == fleet::fleet_invalid)
-      ++tally_.invalid;
+      ++counts_.invalid;
     else
-      ++tally_.unknown;
+      ++counts_.unknown;
   }
 
-  static bool says_not_taken(const std::optional<fleet::fleet_status>& it) {
+  static bool says_not_accepted(const std::optional<fleet::fleet_status>& it) {
     return it == fleet::fleet_unavailable || it == fleet::fleet_refused ||
            it == fleet::fleet_no_queue || it == fleet::fleet_invalid;
   }
 
-  /// The configuration in force was not told to be refused, and none above it
-  /// was told to be taken.
-  std::string judge_configs() const {
-    const uint64_t held = boxes_[0]->controller().book().config().version();
+  /// Checks that the version in force was not answered as refused, and that no
+  /// later version was answered as accepted.
+  std::string check_configs() const {
+    const uint64_t in_force = boxes_[0]->controller().book().config().version();
     for (const auto& box : boxes_) {
-      if (box->controller().book().config().version() != held) {
+      if (box->controller().book().config().version() != in_force) {
         return "configurations differ";
       }
     }
-    const auto told = configs_.find(held);
-    if (told != configs_.end() && says_not_taken(told->second)) {
-      return str_cat("configuration ", held, " though surely not taken");
+    const auto answer = configs_.find(in_force);
+    if (answer != configs_.end() && says_not_accepted(answer->second)) {
+      return str_cat("configuration ", in_force, " in force though refused");
     }
     const auto last = std::find_if(
         configs_.rbegin(), configs_.rend(),
         [](const auto& it) { return it.second == fleet::fleet_ok; });
-    const bool lost = last != configs_.rend() && last->first > held;
-    return lost ? str_cat("configuration ", last->first, " though taken") : "";
+    const bool lost = last != configs_.rend() && last->first > in_force;
+    return lost ? str_cat("configuration ", last->first,
+                          " missing though accepted")
+                : "";
   }
 
-  std::string judge() {
-    std::string wrong = judge_configs();
+  std::string check_promises() {
+    std::string violation = check_configs();
     for (const auto& box : boxes_) {
-      tally_.terms = std::max(tally_.terms, box->state().term());
+      counts_.terms = std::max(counts_.terms, box->state().term());
     }
     for (const auto& [job, it] : jobs_) {
-      bool not_taken = true;
+      bool not_accepted = true;
       bool ok = false;
       for (const auto& answer : it.answers) {
         count(answer);
-        not_taken = not_taken && says_not_taken(answer);
+        not_accepted = not_accepted && says_not_accepted(answer);
         ok = ok || answer == fleet::fleet_ok;
       }
-      if (not_taken) ++tally_.not_taken;
+      if (not_accepted) ++counts_.not_accepted;
       int holders = 0;
       for (const auto& box : boxes_) {
         if (box->controller().book().find(job_number(job))) ++holders;
       }
-      if (!ok && !not_taken) ++(holders > 0 ? tally_.taken : tally_.lost);
+      if (!ok && !not_accepted)
+        ++(holders > 0 ? counts_.accepted : counts_.lost);
       const bool ran = started_.contains(job_number(job));
-      const std::string who = str_cat("job ", job, " held by ", holders);
-      if (not_taken && holders > 0) wrong = who + " though surely not taken";
-      if (not_taken && ran) wrong = who + " ran though surely not taken";
-      if (ok && holders < boxes) wrong = who + " though taken";
-      if (holders % boxes != 0) wrong = who + ", not by all";
+      const std::string name = str_cat("job ", job, " held by ", holders);
+      if (not_accepted && holders > 0) violation = name + " though refused";
+      if (not_accepted && ran) violation = name + " ran though refused";
+      if (ok && holders < boxes) violation = name + " though accepted";
+      if (holders % boxes != 0) violation = name + " but not by all boxes";
     }
-    return wrong;
+    return violation;
   }
 
   seeded_random random_;
@@ -378,15 +385,15 @@
   test_clock clock_;
   std::vector<std::unique_ptr<control_box>> boxes_;
   std::deque<worker> workers_;
-  std::vector<letter> letters_;
+  std::vector<delivery> deliveries_;
   std::vector<relayed_call> calls_;
   std::map<uint64_t, job_record> jobs_;
   std::set<job_number> started_;
   uint64_t version_ = 0;
-  bool asks_ = true;
+  bool configures_ = true;
   // Answers to configurations, by version.
   std::map<uint64_t, fleet::fleet_status> configs_;
-  tally tally_;
+  answer_counts counts_;
 };
 
 }  // namespace kestrelreel::refused
--- a/fleet/slow-test-parts.h
+++ b/fleet/slow-test-parts.h
@@ -1,4 +1,4 @@
-// What the seeded world of slow leaders and workers is made of.
+// Types and constants of the seeded simulation of slow leaders and workers.
 #pragma once
 
 #include <map>
@@ -13,28 +13,30 @@
 
 namespace kestrelreel::slow {
 
+/// Length of one step of the simulation.
 constexpr milliseconds step_time{20};
+/// A worker drops an answer that takes longer, and calls again.
 constexpr milliseconds answer_limit{1'000};
-constexpr milliseconds beat_pause{200};
-/// The longest delay that is not a disturbance.
-constexpr milliseconds quick{30};
+constexpr milliseconds heartbeat_interval{200};
+/// Longest delay of a message without a fault.
+constexpr milliseconds normal_delay{30};
 constexpr int boxes = 3;
-constexpr int places = 8;
-constexpr uint64_t worker_capacity = 4;
-/// When the world began, in ms since 1970.
-constexpr uint64_t first_born = 1'768'000'000'000;
+constexpr int workers = 8;
+constexpr uint64_t worker_cpus = 4;
+/// Start of the simulation, in milliseconds of Unix time.
+constexpr uint64_t start_unix_ms = 1'768'000'000'000;
 
-/// Draws of one seed.
-class chance {
+/// Random numbers from one seed.
+class random_draws {
  public:
-  explicit chance(uint64_t seed) : engine_(seed) {}
+  explicit random_draws(uint64_t seed) : engine_(seed) {}
   bool one_in(unsigned n) { return draw(n) == 0; }
   uint64_t draw(uint64_t n) { return engine_() % n; }
   milliseconds up_to(milliseconds n) {
     return milliseconds(
         static_cast<int64_t>(draw(static_cast<uint64_t>(n.count()) + 1)));
   }
-  /// Mostly short, now and then seconds.
+  /// Returns a delay that is mostly short and occasionally seconds long.
   milliseconds delay() {
     return one_in(40) ? up_to(milliseconds(4'000)) : up_to(milliseconds(30));
   }
@@ -43,22 +45,23 @@
   std::mt19937_64 engine_;
 };
 
-/// What goes wrong in a run, each one step in so many; 0: never.
+/// Faults of a run. A fault happens in one of `n` steps; 0: never.
 struct faults {
   const char* name;
   unsigned stall = 0;
   unsigned election = 0;
   unsigned crash = 0;
-  unsigned slow_reading = 0;
+  unsigned slow_read = 0;
   unsigned cut = 0;
   unsigned leave = 0;
-  // Links are quick, and workers drain for a second at least before they leave.
-  bool steady = false;
-  // Machines that crash and start again under the id that they had.
-  unsigned again = 0;
-  // One in so many of these tells a birth from a clock that was set back.
-  unsigned set_back = 0;
-  // Workers call any box, which passes on what differs to the leader.
+  // Messages take at most `normal_delay`, and workers drain for at least one
+  // second before they leave.
+  bool quiet_links = false;
+  // Workers that crash and restart under the same id.
+  unsigned restart = 0;
+  // One of `n` restarts reports a start time from a clock that was set back.
+  unsigned clock_set_back = 0;
+  // Workers call any box, which forwards the differences to the leader.
   bool intakes = false;
 };
 
@@ -77,60 +80,63 @@
   int box_;
 };
 
+/// A heartbeat on its way to a box.
 struct heartbeat {
   time_point arrives;
-  std::string life;
+  std::string incarnation;
   fleet::worker_beat beat;
 };
 
-/// A worker's leave, on a road of its own.
-struct departure {
+/// A worker's leave, which may overtake its heartbeats.
+struct leave_message {
   time_point arrives;
-  std::string life;
+  std::string incarnation;
   std::string worker;
 };
 
-/// What a box took in for the leader, on its way there.
-struct passed_batch {
+/// Heartbeats that a box forwards, on their way to the leader.
+struct forwarded_batch {
   time_point arrives;
   int from;
   fleet::beat_batch batch;
 };
 
-/// The leader's answer, on its way to the box that took the call in.
-struct passed_answer {
+/// The leader's answer, on its way to the box that forwarded the heartbeat.
+struct forwarded_answer {
   time_point arrives;
   fleet::beat_answer answer;
 };
 
+/// A control box and the messages that wait for it.
 struct box {
   std::unique_ptr<box_log> log;
   std::unique_ptr<fleet_controller> controller;
   std::unique_ptr<heartbeat_intake> intake;
-  int told_leader = -1;
-  std::vector<passed_batch> batches;
-  std::vector<passed_answer> replies;
+  int known_leader = -1;
+  std::vector<forwarded_batch> batches;
+  std::vector<forwarded_answer> replies;
   std::vector<heartbeat> inbox;
-  std::vector<departure> departures;
+  std::vector<leave_message> leaves;
   time_point stalled_until{};
   size_t applied = 0;
 };
 
-struct live_run {
+/// A run and the time at which it ends.
+struct timed_run {
   run_key run;
   time_point ends;
 };
 
-/// One machine and its present life.
-struct machine {
-  // No two lives share an id; to the boxes a later one may bear an earlier
-  // one's name.
+/// A worker and its current incarnation.
+struct simulated_worker {
+  // Unique for each incarnation, while `name`, which the boxes know, may be
+  // shared with earlier ones.
   std::string id;
   std::string name;
   std::string address;
   uint64_t sequence = 0;
   time_point born{};
-  // What it tells of its birth.
+  // The start time that the worker reports, in milliseconds of Unix time.
   uint64_t born_ms = 0;
   std::map<run_key, time_point> runs;
   std::vector<fleet::run_end> ended;
@@ -138,19 +144,20 @@
   std::map<task_key, run_number> highest;
   time_point lease{};
   uint64_t fence = 0;
-  int calls = 0;
-  // The call that is out.
-  uint64_t out = 0;
+  int timed_out_calls = 0;
+  // Sequence number of the unanswered call; 0: none.
+  uint64_t pending = 0;
   time_point sent{};
   time_point next_call{};
-  // Until then what it sends and is sent is held up or lost.
+  // Until this time messages from and to the worker are delayed or lost.
   time_point cut_until{};
-  // When it leaves in order; it drains before.
+  // Time of the planned leave; the worker drains until then.
   std::optional<time_point> leaves_at;
 };
 
-/// What the machine tells of itself.
-inline fleet::worker_beat make_beat(const machine& it, time_point now) {
+/// Returns the worker's heartbeat.
+inline fleet::worker_beat make_beat(const simulated_worker& it,
+                                    time_point now) {
   fleet::worker_beat beat;
   beat.set_worker(it.name);
   beat.set_born(it.born_ms);
@@ -163,7 +170,7 @@
     const milliseconds left = *it.leaves_at - now;
     beat.set_remaining_ms(static_cast<uint64_t>(left.count()));
   }
-  beat.set_cpu_milli(worker_capacity * 1'000);
+  beat.set_cpu_milli(worker_cpus * 1'000);
   beat.set_memory_mb(10'000);
   for (const auto& [run, ends] : it.runs) {
     fleet::running_row& row = *beat.add_running();
@@ -174,9 +181,9 @@
   return beat;
 }
 
-/// The leader's answers that have come.
+/// Handles the leader's answers that have arrived.
 inline void read_replies(box& it, time_point now) {
-  std::erase_if(it.replies, [&](const passed_answer& reply) {
+  std::erase_if(it.replies, [&](const forwarded_answer& reply) {
     if (reply.arrives > now) return false;
     fleet::beat_answers one;
     *one.add_answers() = reply.answer;
@@ -185,6 +192,7 @@
   });
 }
 
+/// An answer on its way to a worker.
 struct answer {
   time_point arrives;
   std::string worker;
@@ -192,72 +200,80 @@
   fleet::worker_orders orders;
 };
 
-/// What the log is asked to keep, and from when it lasts.
+/// A command proposed to the log, committed at `due_at`.
 struct proposal {
-  time_point lasts;
+  time_point due_at;
   fleet::fleet_command command;
 };
 
-/// A good end, at the life of a worker that lists it.
-struct good_end {
+/// A successful end, and the incarnation that lists it in its heartbeats.
+struct successful_end {
   std::string worker;
   uint64_t number;
   time_point at;
-  bool noted = false;
+  bool acknowledged = false;
   bool lapsed = false;
   bool started_after = false;
-  // Nothing held up the worker's calls: the end is owed to be counted.
-  bool owed = false;
+  // No fault delayed the worker's heartbeats, so the end must be counted.
+  bool must_count = false;
 };
 
-/// The good ends of all runs, and what became of them.
-class end_ledger {
+/// Tracks the successful ends of all runs and checks that they are counted.
+class end_tracker {
  public:
-  void add(const task_key& task, const good_end& end) {
+  void add(const task_key& task, const successful_end& end) {
     ends_[task].push_back(end);
   }
-  /// An end that was not taken note of while the lease held is owed nothing.
-  void lapse(const std::string& worker) {
+  /// Releases the unacknowledged ends of a worker whose lease has expired: they
+  /// need not be counted.
+  void expire_lease(const std::string& worker) {
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) {
-        if (end.worker == worker && !end.noted) end.lapsed = true;
+      for (successful_end& end : ends) {
+        if (end.worker == worker && !end.acknowledged) end.lapsed = true;
       }
     }
   }
-  /// All that the worker listed is owed to be counted.
-  void owe(const std::string& worker) {
+  /// All ends that the worker has listed must be counted.
+  void require(const std::string& worker) {
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) end.owed |= end.worker == worker;
+      for (successful_end& end : ends) end.must_count |= end.worker == worker;
     }
   }
-  /// The ends up to that number are taken note of; what is wrong with that.
-  std::string note(const std::string& worker, uint64_t last) {
-    std::string wrong;
+  /// Marks the ends up to number `last` as acknowledged. Returns the violation,
+  /// or an empty string.
+  std::string acknowledge(const std::string& worker, uint64_t last) {
+    std::string violation;
     for (auto& [task, ends] : ends_) {
-      for (good_end& end : ends) {
-        if (end.worker != worker || end.number > last || end.noted) continue;
-        end.noted = true;
+      for (successful_end& end : ends) {
+        if (end.worker != worker || end.number > last || end.acknowledged)
+          continue;
+        end.acknowledged = true;
         if (!end.started_after || end.lapsed) continue;
-        wrong = to_text(task) + " ended well, was started again, then noted";
+        violation =
+            to_text(task) + " succeeded, was started again, then acknowledged";
       }
     }
-    return wrong;
+    return violation;
   }
-  /// The task starts once more; what is wrong with that.
+  /// Records a start of the task. Returns the violation, or an empty string.
   std::string start(const task_key& task) {
-    std::string wrong;
+    std::string violation;
     const auto found = ends_.find(task);
-    if (found == ends_.end()) return wrong;
-    for (good_end& end : found->second) {
-      if (end.noted && !end.lapsed) wrong = to_text(task) + " was done";
-      if (end.owed && !end.lapsed) wrong = to_text(task) + " had ended well";
+    if (found == ends_.end()) return violation;
+    for (successful_end& end : found->second) {
+      if (end.acknowledged && !end.lapsed)
+        violation =
+            to_text(task) + " was started after its acknowledged success";
+      if (end.must_count && !end.lapsed)
+        violation =
+            to_text(task) + " was started after a success that must count";
       end.started_after = true;
     }
-    return wrong;
+    return violation;
   }
 
  private:
-  std::map<task_key, std::vector<good_end>> ends_;
+  std::map<task_key, std::vector<successful_end>> ends_;
 };
 
 }  // namespace kestrelreel::slow
