--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -31,7 +31,7 @@
 
 /// What a run plays.
 struct lease_options {
-  bool quiet_start = true;
+  bool delay_first_vote = true;
   bool suspends = false;
   /// The boxes' clocks count the time for which they were suspended.
   bool counts_suspension = true;
@@ -76,7 +76,7 @@
     settings.self = box_id(name(i));
     settings.identity = "founder";
     settings.election_ticks = election_ticks;
-    settings.quiet_start = options_.quiet_start;
+    settings.delay_first_vote = options_.delay_first_vote;
     nodes_[i].it = std::make_unique<raft>(settings, random_, nodes_[i].disk);
     nodes_[i].lease = std::make_unique<leader_lease>(lease_time);
   }
@@ -169,7 +169,7 @@
 TEST(leader_lease, without_the_quiet_start_two_may_decide) {
   unsigned clashes = 0;
   for (uint64_t seed = 1; seed <= 3'000 && clashes == 0; ++seed) {
-    clashes += lease_run(seed, {.quiet_start = false}).run(400);
+    clashes += lease_run(seed, {.delay_first_vote = false}).run(400);
   }
   CHECK_TRUE(clashes > 0);
 }
--- a/consensus/leader-lease.cc
+++ b/consensus/leader-lease.cc
@@ -14,7 +14,7 @@
 }
 
 bool leader_lease::valid(const raft& state, time_point now) {
-  if (!state.leads_with_state() || state.term() != term_) return false;
+  if (!state.is_ready_leader() || state.term() != term_) return false;
   const uint64_t answered = state.quorum_round();
   while (rounds_.size() > 1 && rounds_[1].round <= answered) {
     rounds_.pop_front();
--- a/consensus/log-store-faults-test.cc
+++ b/consensus/log-store-faults-test.cc
@@ -101,7 +101,7 @@
 }
 
 /// Runs what is queued when told to.
-class told_queue final : public blocking_queue {
+class told_queue final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
            std::function<void(absl::Status)> done) override {
@@ -120,7 +120,7 @@
   std::deque<std::function<void()>> waiting_;
 };
 
-class noting_host final : public replica_host {
+class noting_host final : public replica_callbacks {
  public:
   void send(const proto::raft_message&) override {}
   void install(const proto::log_snapshot&) override {}
--- a/consensus/log-store-test.cc
+++ b/consensus/log-store-test.cc
@@ -69,14 +69,14 @@
     const auto log = parse_log(whole.substr(0, n));
     CHECK_TRUE(log.ok());
     CHECK_EQUAL(0, log->state.entries.size() % 2);
-    CHECK_TRUE(log->sound_bytes <= n);
+    CHECK_TRUE(log->valid_bytes <= n);
   }
 }
 
 TEST(log_store, a_flipped_byte_is_never_passed_over) {
   fake_disk folder;
   const std::string whole = three_batches(folder);
-  const size_t last = parse_log(whole)->sound_bytes;
+  const size_t last = parse_log(whole)->valid_bytes;
   CHECK_EQUAL(whole.size(), last);
   unsigned refused = 0;
   for (size_t i = 0; i < whole.size(); ++i) {
--- a/consensus/log-store.cc
+++ b/consensus/log-store.cc
@@ -110,17 +110,17 @@
   parsed_log log;
   proto::disk_record record;
   size_t end = 0;
-  while (detail::decode(bytes, log.sound_bytes, record, end)) {
+  while (detail::decode(bytes, log.valid_bytes, record, end)) {
     const absl::Status status = detail::add_record(log, std::move(record));
     if (!status.ok()) return status;
-    log.sound_bytes = end;
+    log.valid_bytes = end;
   }
-  if (log.sound_bytes == 0) {
+  if (log.valid_bytes == 0) {
     return absl::DataLossError("log file does not begin with a sound record");
   }
-  if (detail::sound_record_after(bytes, log.sound_bytes)) {
+  if (detail::sound_record_after(bytes, log.valid_bytes)) {
     return absl::DataLossError(str_cat(
-        "log file is corrupt at byte ", log.sound_bytes,
+        "log file is corrupt at byte ", log.valid_bytes,
         "; move the data folder away, so that this box is repaired from the "
         "other replicas"));
   }
@@ -144,7 +144,7 @@
   if (!sound.ok()) return sound;
   std::unique_ptr<log_store> store(
       new log_store(folder, std::move(log->header), std::move(log->state)));
-  const absl::Status opened = store->reopen(log->sound_bytes);
+  const absl::Status opened = store->reopen(log->valid_bytes);
   if (!opened.ok()) return opened;
   return store;
 }
--- a/consensus/log-store.h
+++ b/consensus/log-store.h
@@ -21,7 +21,7 @@
   proto::log_header header;
   raft_state state;
   /// Length of the sound part; what follows is a record cut short by a crash.
-  size_t sound_bytes = 0;
+  size_t valid_bytes = 0;
 };
 
 /// Reads a log file. A record cut short at the end is left out, as no sync of
--- a/consensus/power-loss-test.cc
+++ b/consensus/power-loss-test.cc
@@ -15,7 +15,7 @@
 
 #include "base/text.h"
 #include "consensus/quorum.h"
-#include "consensus/soak/soak-node.h"
+#include "consensus/soak/soak-box.h"
 
 using namespace kestrelreel;
 
@@ -44,7 +44,7 @@
     }
     for (const std::string& it : names) {
       nodes_.push_back(
-          std::make_unique<soak_node>(it, names, options_, random_, *this));
+          std::make_unique<soak_box>(it, names, options_, random_, *this));
     }
     for (auto& it : nodes_) it->start(true);
     // Boxes with slow disks lag, so that at times just a majority holds what is
@@ -85,10 +85,10 @@
     if (good()) outcome_.violation = text;
   }
   size_t tolerated() const { return (nodes_.size() - 1) / 2; }
-  soak_node& any() { return *nodes_[random_.below(nodes_.size())]; }
+  soak_box& any() { return *nodes_[random_.below(nodes_.size())]; }
 
-  soak_node* leader() {
-    soak_node* best = nullptr;
+  soak_box* leader() {
+    soak_box* best = nullptr;
     for (auto& it : nodes_) {
       const raft& r = it->it().state();
       if (r.role() != raft_role::leader) continue;
@@ -128,13 +128,13 @@
   }
 
   bool propose() {
-    soak_node* it = leader();
+    soak_box* it = leader();
     return it != nullptr && it->it().propose(str_cat("c", ++proposals_)).ok();
   }
 
   /// A leader answers its callers once it has applied their commands.
   void note_acknowledged() {
-    const soak_node* it = leader();
+    const soak_box* it = leader();
     if (it == nullptr) return;
     for (size_t i = acknowledged_.size(); i < it->state().size(); ++i) {
       acknowledged_.push_back(it->state()[i]);
@@ -143,15 +143,15 @@
 
   void strike() {
     struck_ = true;
-    std::vector<soak_node*> holders;
+    std::vector<soak_box*> holders;
     for (auto& it : nodes_) {
       if (it->holds_synced(last_)) holders.push_back(it.get());
     }
     outcome_.holders = holders.size();
-    const soak_node* led = leader();
+    const soak_box* led = leader();
     for (size_t i = 0; i < tolerated() && !holders.empty(); ++i) {
       const size_t chosen = random_.below(holders.size());
-      soak_node* it = holders[chosen];
+      soak_box* it = holders[chosen];
       holders.erase(holders.begin() + static_cast<ptrdiff_t>(chosen));
       outcome_.leader_emptied = outcome_.leader_emptied || it == led;
       it->lose_power();
@@ -165,7 +165,7 @@
     if (random_.below(2) == 0) network_.clear();
     for (auto& it : nodes_) {
       it->start(false);
-      const bool sound = options_.fault == soak_break::none;
+      const bool sound = options_.fault == injected_fault::none;
       if (sound && it->applied_index() < it->floor()) {
         fail(str_cat(it->box(), " starts below its floor"));
       }
@@ -180,7 +180,7 @@
       const raft_log& log = r.log();
       const uint64_t index = last_.index();
       if (index < log.snapshot_index()) continue;
-      if (log.knows(index) && log.term_at(index) == last_.term()) continue;
+      if (log.has_term(index) && log.term_at(index) == last_.term()) continue;
       fail(str_cat("lost ", last_.payload(), ": ", it->box(), " leads"));
     }
   }
@@ -207,7 +207,7 @@
 
   /// All boxes hold the last command, and are voters with what they have now.
   bool whole() {
-    const soak_node* it = leader();
+    const soak_box* it = leader();
     if (it == nullptr) return false;
     const auto& state = it->state();
     const bool held =
@@ -229,7 +229,7 @@
 
   soak_options options_;
   seeded_random random_;
-  std::vector<std::unique_ptr<soak_node>> nodes_;
+  std::vector<std::unique_ptr<soak_box>> nodes_;
   std::vector<proto::raft_message> network_;
   std::vector<std::string> acknowledged_;
   // The last command that was applied before the strike.
@@ -241,7 +241,7 @@
   outcome outcome_;
 };
 
-outcome run_of(uint64_t seed, unsigned replicas, soak_break fault) {
+outcome run_of(uint64_t seed, unsigned replicas, injected_fault fault) {
   soak_options options;
   options.seed = seed;
   options.replicas = replicas;
@@ -271,7 +271,7 @@
     unsigned leaders_emptied = 0;
     unsigned from_snapshot = 0;
     for (uint64_t seed = 1; seed <= it.seeds; ++seed) {
-      const outcome was = run_of(seed, it.replicas, soak_break::none);
+      const outcome was = run_of(seed, it.replicas, injected_fault::none);
       CHECK_TEXT(was.violation.empty(), str_cat(it.replicas, " replicas, seed ",
                                                 seed, ": ", was.violation)
                                             .c_str());
@@ -290,8 +290,8 @@
 
 TEST(power_loss, faults_built_in_on_purpose_are_caught) {
   for (const row& it : rows) {
-    for (const soak_break fault :
-         {soak_break::acknowledge_unsynced, soak_break::empty_replica_votes}) {
+    for (const injected_fault fault : {injected_fault::acknowledge_unsynced,
+                                       injected_fault::empty_replica_votes}) {
       unsigned caught = 0;
       for (uint64_t seed = 1; seed <= it.seeds && caught == 0; ++seed) {
         const outcome was = run_of(seed, it.replicas, fault);
--- a/consensus/raft-install.cc
+++ b/consensus/raft-install.cc
@@ -48,8 +48,8 @@
   quiet_ticks_ = 0;
   const proto::log_snapshot& part = m.snapshot();
   const bool held =
-      part.index() <= commit_ ||
-      (log_.knows(part.index()) && log_.term_at(part.index()) == part.term());
+      part.index() <= commit_ || (log_.has_term(part.index()) &&
+                                  log_.term_at(part.index()) == part.term());
   if (held) return on_install(m);
   const bool same = incoming_ && incoming_term_ == m.term() &&
                     incoming_->index() == part.index() &&
--- a/consensus/raft-log.h
+++ b/consensus/raft-log.h
@@ -27,7 +27,7 @@
   }
 
   /// True when the log can tell the term of that index.
-  bool knows(uint64_t index) const {
+  bool has_term(uint64_t index) const {
     return index >= base_index_ && index <= last_index();
   }
   /// Term of a known index.
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -59,7 +59,7 @@
 };
 
 /// Runs work at once.
-class instant_queue final : public blocking_queue {
+class instant_queue final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
            std::function<void(absl::Status)> done) override {
@@ -76,7 +76,7 @@
   std::deque<std::function<void()>> waiting;
 };
 
-class counting_host final : public replica_host {
+class counting_host final : public replica_callbacks {
  public:
   void send(const proto::raft_message& m) override { sent.push_back(m); }
   void install(const proto::log_snapshot&) override {}
@@ -114,7 +114,7 @@
     raft_settings settings;
     settings.self = box_id("b0");
     settings.identity = "founder";
-    settings.wanted_voters = wanted;
+    settings.target_voters = wanted;
     settings.slow_write_ticks = 4;
     auto store = log_store::create(folder, settings.self, "founder",
                                    members_of(n, learners));
@@ -215,7 +215,8 @@
   // b3 to b5 stand with the founders, b6 to b8 elsewhere.
   const char* places[] = {"x", "y", "z", "x", "y", "z", "u", "v", "v"};
   for (unsigned i = 0; i < 9; ++i) {
-    run.it->know_place(box_id(str_cat("b", i)), data_centre_id(places[i]));
+    run.it->assign_data_centre(box_id(str_cat("b", i)),
+                               data_centre_id(places[i]));
   }
   for (int i = 0; i < 100; ++i) {
     run.tick([](const std::string&) { return true; });
--- a/consensus/raft-members.cc
+++ b/consensus/raft-members.cc
@@ -44,7 +44,7 @@
 
 bool raft::remove_surplus() {
   const auto n = static_cast<unsigned>(members().voters_size());
-  if (settings_.wanted_voters == 0 || n <= settings_.wanted_voters) {
+  if (settings_.target_voters == 0 || n <= settings_.target_voters) {
     return false;
   }
   for (const proto::replica& voter : members().voters()) {
@@ -75,7 +75,7 @@
 
 /// True while fewer voters answer than there should be.
 bool raft::wants_voter() const {
-  if (settings_.wanted_voters == 0) return true;
+  if (settings_.target_voters == 0) return true;
   const auto& voters = members().voters();
   const auto n = std::count_if(voters.begin(), voters.end(), [&](auto& it) {
     const auto found = progress_.find(it.box());
@@ -83,7 +83,7 @@
            (found != progress_.end() &&
             found->second.silent_ticks < settings_.silent_ticks);
   });
-  return static_cast<unsigned>(n) < settings_.wanted_voters;
+  return static_cast<unsigned>(n) < settings_.target_voters;
 }
 
 /// How many voters stand in the box's data centre.
--- a/consensus/raft-replication.cc
+++ b/consensus/raft-replication.cc
@@ -108,7 +108,7 @@
   // A log that holds the snapshot's last entry holds all before it, and may
   // hold acknowledged ones after it: it stays.
   const bool held =
-      log_.knows(index) && log_.term_at(index) == m.snapshot().term();
+      log_.has_term(index) && log_.term_at(index) == m.snapshot().term();
   if (held) commit_ = std::max(commit_, index);
   if (index > commit_) {
     auto snapshot = std::make_shared<const proto::log_snapshot>(m.snapshot());
@@ -168,7 +168,7 @@
 /// True where more of the log may be on its way to the follower.
 bool raft::has_more_for(const follower_progress& it) const {
   return !it.probing() && it.next() <= log_.last_index() &&
-         it.next() - it.match() <= settings_.window &&
+         it.next() - it.match() <= settings_.window_entries &&
          it.bytes_out() < window_bytes();
 }
 
@@ -181,7 +181,7 @@
 void raft::send_append(const std::string& box, follower_progress& it,
                        bool heartbeat) {
   const uint64_t previous = it.next() - 1;
-  if (!log_.knows(previous)) return send_install(box, it, heartbeat);
+  if (!log_.has_term(previous)) return send_install(box, it, heartbeat);
   const bool more = has_more_for(it);
   if (!more && !heartbeat) return;
   proto::raft_message m = make(proto::raft_append, box);
--- a/consensus/raft-test.cc
+++ b/consensus/raft-test.cc
@@ -51,9 +51,9 @@
 
 TEST(raft, deliberate_faults_are_caught) {
   constexpr uint64_t seeds = 3'000;
-  for (const soak_break fault :
-       {soak_break::vote_not_synced, soak_break::acknowledge_unsynced,
-        soak_break::empty_replica_votes}) {
+  for (const injected_fault fault :
+       {injected_fault::vote_not_synced, injected_fault::acknowledge_unsynced,
+        injected_fault::empty_replica_votes}) {
     uint64_t caught = 0;
     for (uint64_t seed = 1; seed <= seeds && caught == 0; ++seed) {
       soak_options options;
--- a/consensus/raft.cc
+++ b/consensus/raft.cc
@@ -41,7 +41,7 @@
   commit_ = std::clamp(state.hard.commit(), commit_, persisted_);
   handed_commit_ = saved_commit_ = commit_;
   unstable_from_ = persisted_ + 1;
-  if (settings_.quiet_start && term_ > 0) {
+  if (settings_.delay_first_vote && term_ > 0) {
     no_vote_ticks_ = settings_.election_ticks;
   }
   reset_timeout();
@@ -74,11 +74,11 @@
   return m;
 }
 
-void raft::know_place(const box_id& box, const data_centre_id& place) {
+void raft::assign_data_centre(const box_id& box, const data_centre_id& place) {
   places_[box.str()] = place;
 }
 
-void raft::know_replica_box(const box_id& box) {
+void raft::add_replica_box(const box_id& box) {
   auto& boxes = settings_.replica_boxes;
   if (std::find(boxes.begin(), boxes.end(), box) == boxes.end()) {
     boxes.push_back(box);
@@ -137,7 +137,7 @@
   });
 }
 
-bool raft::leads_with_state() const {
+bool raft::is_ready_leader() const {
   return role_ == raft_role::leader && log_.term_at(applied_) == term_;
 }
 
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -45,17 +45,17 @@
   /// entries. What else goes to its box waits behind that: 10 ms on a link of
   /// 200 Mbit/s, which carries 32 MB/s so with a way and a sync of 8 ms.
   size_t window_bytes = 256 << 10;
-  uint64_t window = 4096;
+  uint64_t window_entries = 4096;
   /// Boxes that have a data folder; a replica without members tells them that
   /// it exists.
   std::vector<box_id> replica_boxes;
   /// Voters that the cluster should have. While so many answer, learners stay
   /// learners; a voter that falls silent while there are more leaves for good.
   /// 0 bounds nothing and never removes one.
-  unsigned wanted_voters = 0;
+  unsigned target_voters = 0;
   /// A replica that starts votes for nobody for the least election time, as it
   /// has forgotten which leader it answered. Only tests turn it off.
-  bool quiet_start = true;
+  bool delay_first_vote = true;
   /// Ticks that a leader's write may take before it hands the leadership on;
   /// 0 waits for ever.
   unsigned slow_write_ticks = 0;
@@ -110,9 +110,9 @@
   /// whenever it likes.
   void transfer_leadership();
   /// Boxes that may hold a replica, beside those of the settings.
-  void know_replica_box(const box_id& box);
+  void add_replica_box(const box_id& box);
   /// Where a box stands: voters are spread over the data centres.
-  void know_place(const box_id& box, const data_centre_id& place);
+  void assign_data_centre(const box_id& box, const data_centre_id& place);
   /// Takes the actions that have come up. At most one batch is out at a time.
   raft_actions take();
   /// The last batch taken is on the disk.
@@ -143,7 +143,7 @@
   uint64_t quorum_round() const;
   /// True when this replica leads and has applied an entry of its own term, so
   /// that its state holds all that was ever committed.
-  bool leads_with_state() const;
+  bool is_ready_leader() const;
 
  private:
   // Elections: raft.cc.
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -19,7 +19,7 @@
 constexpr int many_ticks = 60;
 
 /// A replica whose messages and writes the test holds.
-class held_box final : public replica_host, public blocking_queue {
+class held_box final : public replica_callbacks, public serial_executor {
  public:
   explicit held_box(int voters) {
     proto::membership members;
@@ -74,7 +74,7 @@
     run_disk();
     hear(proto::raft_append_reply, it->state().term(), 1);
     run_disk();
-    CHECK_TRUE(it->state().leads_with_state());
+    CHECK_TRUE(it->state().is_ready_leader());
   }
   void tick(int n) {
     for (int i = 0; i < n; ++i) {
--- a/consensus/replica.cc
+++ b/consensus/replica.cc
@@ -5,8 +5,8 @@
 namespace kestrelreel {
 
 replica::replica(raft_settings settings, random_source& random,
-                 std::unique_ptr<log_store> store, blocking_queue& queue,
-                 replica_host& host, compaction_settings compaction)
+                 std::unique_ptr<log_store> store, serial_executor& queue,
+                 replica_callbacks& host, compaction_settings compaction)
     : store_(std::move(store)),
       slow_write_ticks_(settings.slow_write_ticks),
       raft_(std::move(settings), random, store_->take_state()),
--- a/consensus/replica.h
+++ b/consensus/replica.h
@@ -14,9 +14,9 @@
 namespace kestrelreel {
 
 /// Runs what blocks away from the thread of the decisions.
-class blocking_queue {
+class serial_executor {
  public:
-  virtual ~blocking_queue() = default;
+  virtual ~serial_executor() = default;
   /// Runs `work`, one at a time in the order of the calls, then `done` with
   /// its result on the thread of the decisions.
   virtual void run(std::function<absl::Status()> work,
@@ -24,9 +24,9 @@
 };
 
 /// What a replica needs of its process.
-class replica_host {
+class replica_callbacks {
  public:
-  virtual ~replica_host() = default;
+  virtual ~replica_callbacks() = default;
   /// Sends a message; it may be lost.
   virtual void send(const proto::raft_message& m) = 0;
   /// Puts the snapshot's state in the place of all state so far.
@@ -49,12 +49,12 @@
   size_t bytes = 64 << 20;
 };
 
-/// A running replica. Not thread-safe; `blocking_queue` returns to its thread.
+/// A running replica. Not thread-safe; `serial_executor` returns to its thread.
 class replica {
  public:
   replica(raft_settings settings, random_source& random,
-          std::unique_ptr<log_store> store, blocking_queue& queue,
-          replica_host& host, compaction_settings compaction = {});
+          std::unique_ptr<log_store> store, serial_executor& queue,
+          replica_callbacks& host, compaction_settings compaction = {});
 
   /// One tick of the replica's clock.
   void tick();
@@ -66,11 +66,11 @@
   void transfer_leadership();
 
   /// Boxes that may hold a replica, beside those of the settings.
-  void know_replica_box(const box_id& box) { raft_.know_replica_box(box); }
+  void add_replica_box(const box_id& box) { raft_.add_replica_box(box); }
 
   /// Where a box stands.
-  void know_place(const box_id& box, const data_centre_id& place) {
-    raft_.know_place(box, place);
+  void assign_data_centre(const box_id& box, const data_centre_id& place) {
+    raft_.assign_data_centre(box, place);
   }
 
   /// The state machine, for reading.
@@ -86,8 +86,8 @@
   std::unique_ptr<log_store> store_;
   unsigned slow_write_ticks_ = 0;
   raft raft_;
-  blocking_queue& queue_;
-  replica_host& host_;
+  serial_executor& queue_;
+  replica_callbacks& host_;
   compaction_settings compaction_;
   size_t compacted_size_ = 0;
   unsigned writes_out_ = 0;
--- a/consensus/soak/main.cc
+++ b/consensus/soak/main.cc
@@ -29,12 +29,13 @@
   --break NAME   A fault built in on purpose: vote, ack or empty.
 )";
 
+using kestrelreel::injected_fault;
 using kestrelreel::run_soak;
-using kestrelreel::soak_break;
 using kestrelreel::soak_options;
 using kestrelreel::soak_report;
 
-soak_options options_for(uint64_t seed, unsigned replicas, soak_break fault) {
+soak_options options_for(uint64_t seed, unsigned replicas,
+                         injected_fault fault) {
   soak_options it;
   it.seed = seed;
   it.replicas = replicas != 0 ? replicas : (seed % 4 == 0 ? 5 : 3);
@@ -42,16 +43,16 @@
   return it;
 }
 
-soak_break fault_of(const docopt::value& name) {
-  const std::map<std::string, soak_break> faults{
-      {"vote", soak_break::vote_not_synced},
-      {"ack", soak_break::acknowledge_unsynced},
-      {"empty", soak_break::empty_replica_votes}};
-  if (!name) return soak_break::none;
+injected_fault fault_of(const docopt::value& name) {
+  const std::map<std::string, injected_fault> faults{
+      {"vote", injected_fault::vote_not_synced},
+      {"ack", injected_fault::acknowledge_unsynced},
+      {"empty", injected_fault::empty_replica_votes}};
+  if (!name) return injected_fault::none;
   return faults.at(name.asString());
 }
 
-int run_one(uint64_t seed, unsigned replicas, soak_break fault) {
+int run_one(uint64_t seed, unsigned replicas, injected_fault fault) {
   const soak_report it = run_soak(options_for(seed, replicas, fault));
   std::cout << "seed=" << seed << " committed=" << it.committed
             << " acknowledged=" << it.acknowledged << " crashes=" << it.crashes
@@ -62,7 +63,7 @@
 }
 
 int run_many(uint64_t from, uint64_t seeds, unsigned replicas,
-             soak_break fault) {
+             injected_fault fault) {
   std::atomic<uint64_t> next = from;
   std::atomic<uint64_t> failed = 0;
   std::atomic<uint64_t> committed = 0;
@@ -97,7 +98,7 @@
     return static_cast<uint64_t>(options[name].asLong());
   };
   const auto replicas = static_cast<unsigned>(number("--replicas"));
-  const soak_break fault = fault_of(options["--break"]);
+  const injected_fault fault = fault_of(options["--break"]);
   if (options["--seed"]) return run_one(number("--seed"), replicas, fault);
   return run_many(number("--from"), number("--seeds"), replicas, fault);
 }
--- a/consensus/soak/soak-node.cc
+++ b/consensus/soak/soak-box.cc
@@ -1,4 +1,4 @@
-#include "consensus/soak/soak-node.h"
+#include "consensus/soak/soak-box.h"
 
 #include <algorithm>
 #include <sstream>
@@ -26,16 +26,16 @@
 
 }  // namespace detail
 
-soak_node::soak_node(std::string box, std::vector<std::string> all,
-                     const soak_options& options, random_source& random,
-                     soak_observer& observer)
+soak_box::soak_box(std::string box, std::vector<std::string> all,
+                   const soak_options& options, random_source& random,
+                   soak_observer& observer)
     : box_(std::move(box)),
       all_(std::move(all)),
       options_(options),
       random_(random),
       observer_(observer) {}
 
-proto::membership soak_node::founders() const {
+proto::membership soak_box::founders() const {
   proto::membership members;
   for (const std::string& it : all_) {
     proto::replica& voter = *members.add_voters();
@@ -45,15 +45,15 @@
   return members;
 }
 
-std::unique_ptr<log_store> soak_node::open_store(bool new_cluster) {
+std::unique_ptr<log_store> soak_box::open_store(bool new_cluster) {
   const box_id self(box_);
   auto store = log_store::open(disk_, self);
-  if (store.ok() && options_.fault == soak_break::vote_not_synced) {
+  if (store.ok() && options_.fault == injected_fault::vote_not_synced) {
     return without_vote(**store);
   }
   if (store.ok()) return std::move(*store);
   const bool as_founder =
-      new_cluster || options_.fault == soak_break::empty_replica_votes;
+      new_cluster || options_.fault == injected_fault::empty_replica_votes;
   if (as_founder) {
     return std::move(*log_store::create(disk_, self, "founder", founders()));
   }
@@ -62,7 +62,7 @@
 }
 
 /// The folder's log as if the last vote had not been synced.
-std::unique_ptr<log_store> soak_node::without_vote(log_store& store) {
+std::unique_ptr<log_store> soak_box::without_vote(log_store& store) {
   raft_state state = store.take_state();
   auto result = std::move(*log_store::create(disk_, box_id(box_),
                                              store.identity(), state.founding));
@@ -76,7 +76,7 @@
   return std::move(*log_store::open(disk_, box_id(box_)));
 }
 
-void soak_node::start(bool new_cluster) {
+void soak_box::start(bool new_cluster) {
   disk_.heal();
   failed_ = false;
   state_.clear();
@@ -86,13 +86,13 @@
   raft_settings settings;
   settings.self = box_id(box_);
   settings.identity = identity_;
-  settings.window = 16;
+  settings.window_entries = 16;
   // Small, so that entries and snapshots go in several messages.
   settings.batch_bytes = 40;
   settings.window_bytes = 160;
   // The log must be safe without the quiet start, which hides lost votes and
   // serves the lease alone (leader-lease-test).
-  settings.quiet_start = options_.seed % 4 == 0;
+  settings.delay_first_vote = options_.seed % 4 == 0;
   settings.slow_write_ticks = options_.seed % 4 == 1 ? 4 : 0;
   for (const std::string& it : all_) {
     settings.replica_boxes.emplace_back(it);
@@ -103,7 +103,7 @@
       std::move(settings), random_, std::move(store), *this, *this, compaction);
 }
 
-void soak_node::end_process() {
+void soak_box::end_process() {
   const bool cut_write = !writes_.empty() && random_.below(2) == 0;
   if (cut_write) {
     disk_.fail_after(static_cast<int>(random_.below(3)));
@@ -114,17 +114,17 @@
   replica_.reset();
 }
 
-void soak_node::crash() {
+void soak_box::crash() {
   end_process();
   disk_.crash(random_);
 }
 
-void soak_node::lose_power() {
+void soak_box::lose_power() {
   end_process();
   disk_.lose_unsynced();
 }
 
-bool soak_node::holds_synced(const proto::log_entry& entry) {
+bool soak_box::holds_synced(const proto::log_entry& entry) {
   const auto log = parse_log(disk_.files()["log"].synced);
   if (!log.ok()) return false;
   const raft_state& state = log->state;
@@ -134,21 +134,22 @@
   return at < state.entries.size() && state.entries[at].term() == entry.term();
 }
 
-void soak_node::wipe() {
+void soak_box::wipe() {
   disk_.wipe();
   floor_ = 0;
 }
 
-void soak_node::run(std::function<absl::Status()> work,
-                    std::function<void(absl::Status)> done) {
+void soak_box::run(std::function<absl::Status()> work,
+                   std::function<void(absl::Status)> done) {
   writes_.push_back({std::move(work), std::move(done)});
 }
 
-void soak_node::run_disk() {
+void soak_box::run_disk() {
   if (writes_.empty()) return;
   pending_write it = std::move(writes_.front());
   writes_.pop_front();
-  const bool skips_sync = options_.fault == soak_break::acknowledge_unsynced;
+  const bool skips_sync =
+      options_.fault == injected_fault::acknowledge_unsynced;
   if (skips_sync) disk_.fail_after(1);
   absl::Status status = it.work();
   disk_.heal();
@@ -156,27 +157,27 @@
   it.done(status);
 }
 
-void soak_node::send(const proto::raft_message& m) { observer_.sent(m); }
+void soak_box::send(const proto::raft_message& m) { observer_.sent(m); }
 
-void soak_node::install(const proto::log_snapshot& snapshot) {
+void soak_box::install(const proto::log_snapshot& snapshot) {
   state_ = detail::split(snapshot.data());
   applied_index_ = snapshot.index();
   floor_ = std::max(floor_, applied_index_);
   observer_.installed(box_, applied_index_, state_);
 }
 
-void soak_node::apply(const proto::log_entry& entry) {
+void soak_box::apply(const proto::log_entry& entry) {
   applied_index_ = entry.index();
   floor_ = std::max(floor_, applied_index_);
   if (entry.kind() == proto::entry_command) state_.push_back(entry.payload());
   observer_.applied(box_, entry);
 }
 
-std::string soak_node::save_state() {
+std::string soak_box::save_state() {
   ++snapshots_;
   return detail::join(state_);
 }
 
-void soak_node::disk_failed(const absl::Status& /*status*/) { failed_ = true; }
+void soak_box::disk_failed(const absl::Status& /*status*/) { failed_ = true; }
 
 }  // namespace kestrelreel
--- a/consensus/soak/soak-node.h
+++ b/consensus/soak/soak-box.h
@@ -26,11 +26,11 @@
 };
 
 /// A box with a replica that can crash, freeze and lose its data folder.
-class soak_node final : public replica_host, public blocking_queue {
+class soak_box final : public replica_callbacks, public serial_executor {
  public:
-  soak_node(std::string box, std::vector<std::string> all,
-            const soak_options& options, random_source& random,
-            soak_observer& observer);
+  soak_box(std::string box, std::vector<std::string> all,
+           const soak_options& options, random_source& random,
+           soak_observer& observer);
 
   /// Starts the process; `new_cluster` founds the record.
   void start(bool new_cluster);
--- a/consensus/soak/soak-run.cc
+++ b/consensus/soak/soak-run.cc
@@ -6,7 +6,7 @@
 
 #include "base/text.h"
 #include "consensus/quorum.h"
-#include "consensus/soak/soak-node.h"
+#include "consensus/soak/soak-box.h"
 
 namespace kestrelreel {
 namespace detail {
@@ -25,7 +25,7 @@
     }
     for (const std::string& it : names) {
       nodes_.push_back(
-          std::make_unique<soak_node>(it, names, options_, random_, *this));
+          std::make_unique<soak_box>(it, names, options_, random_, *this));
     }
     for (auto& it : nodes_) it->start(true);
   }
@@ -75,7 +75,7 @@
     if (good()) report_.violation = std::move(text);
   }
 
-  soak_node& any() { return *nodes_[random_.below(nodes_.size())]; }
+  soak_box& any() { return *nodes_[random_.below(nodes_.size())]; }
 
   void rough_step() {
     const uint64_t dice = random_.below(1'000);
@@ -92,11 +92,11 @@
   }
 
   void tick_one() {
-    soak_node& it = any();
+    soak_box& it = any();
     if (it.up()) it.it().tick();
   }
 
-  void run_disk_of(soak_node& it) {
+  void run_disk_of(soak_box& it) {
     if (it.up()) it.run_disk();
   }
 
@@ -121,8 +121,8 @@
     }
   }
 
-  soak_node* leader() {
-    soak_node* best = nullptr;
+  soak_box* leader() {
+    soak_box* best = nullptr;
     for (auto& it : nodes_) {
       if (!it->up()) continue;
       const raft& r = it->it().state();
@@ -135,7 +135,7 @@
   }
 
   void propose() {
-    soak_node* it = leader();
+    soak_box* it = leader();
     if (it == nullptr) return;
     const std::string text = str_cat("c", ++proposals_);
     if (it->it().propose(text).ok()) note_acknowledged();
@@ -143,7 +143,7 @@
 
   /// A leader answers its callers once it has applied their commands.
   void note_acknowledged() {
-    const soak_node* it = leader();
+    const soak_box* it = leader();
     if (it == nullptr) return;
     for (size_t i = answered_; i < it->state().size(); ++i) {
       acknowledged_.insert(it->state()[i]);
@@ -152,21 +152,21 @@
   }
 
   void crash_one() {
-    soak_node& it = any();
+    soak_box& it = any();
     if (!it.up()) return;
     it.crash();
     ++report_.crashes;
   }
 
   void start_one() {
-    soak_node& it = any();
+    soak_box& it = any();
     if (!it.up()) start(it);
   }
 
-  void start(soak_node& it) {
+  void start(soak_box& it) {
     it.start(false);
     const uint64_t now = it.applied_index();
-    if (options_.fault == soak_break::none && now < it.floor()) {
+    if (options_.fault == injected_fault::none && now < it.floor()) {
       fail(str_cat(it.box(), " starts at ", now, ", below its floor ",
                    it.floor()));
     }
@@ -175,7 +175,7 @@
   /// Loses a data folder where enough voters keep theirs for the record to
   /// live on.
   void lose_folder() {
-    soak_node& it = any();
+    soak_box& it = any();
     for (auto& node : nodes_) {
       if (!node->up() || !knows_all_voters(*node)) return;
     }
@@ -187,7 +187,7 @@
 
   /// True when every box is a voter with its present folder, by that node's
   /// log.
-  bool knows_all_voters(soak_node& node) const {
+  bool knows_all_voters(soak_box& node) const {
     const proto::membership& members = node.it().state().members();
     for (const auto& it : nodes_) {
       if (!is_voter(members, it->box(), it->identity())) return false;
@@ -203,8 +203,8 @@
   }
 
   void cut_link() {
-    const soak_node& a = any();
-    const soak_node& b = any();
+    const soak_box& a = any();
+    const soak_box& b = any();
     if (&a != &b) cut_.insert({a.box(), b.box()});
   }
 
@@ -214,7 +214,7 @@
 
   /// Hands over as the code does, or lets others contest the next term.
   void any_leader_transfers() {
-    soak_node* it = leader();
+    soak_box* it = leader();
     if (it == nullptr) return;
     if (random_.below(2) == 0) return it->it().transfer_leadership();
     contest(*it);
@@ -223,8 +223,8 @@
   /// Two replicas stand in one term, and the third crashes between their
   /// requests: more than the code lets happen, as a leader stops leading with
   /// its hand-over. The one vote must stand all the same.
-  void contest(soak_node& old) {
-    std::vector<soak_node*> others;
+  void contest(soak_box& old) {
+    std::vector<soak_box*> others;
     const uint64_t last = old.it().state().log().last_index();
     for (auto& it : nodes_) {
       if (it.get() == &old || !it->up()) continue;
@@ -233,7 +233,7 @@
       others.push_back(it.get());
     }
     if (others.size() < 2 || !cut_.empty()) return;
-    for (soak_node* it : others) stand(old, *it);
+    for (soak_box* it : others) stand(old, *it);
     ask_for_vote(*others[0], old);
     old.crash();
     ++report_.crashes;
@@ -241,7 +241,7 @@
     ask_for_vote(*others[1], old);
   }
 
-  void stand(const soak_node& old, soak_node& it) {
+  void stand(const soak_box& old, soak_box& it) {
     proto::raft_message m;
     m.set_kind(proto::raft_timeout_now);
     m.set_from(old.box());
@@ -252,7 +252,7 @@
     finish_writes(it);
   }
 
-  void ask_for_vote(soak_node& candidate, soak_node& voter) {
+  void ask_for_vote(soak_box& candidate, soak_box& voter) {
     deliver_between(candidate, voter, proto::raft_vote);
     finish_writes(voter);
     deliver_between(voter, candidate, proto::raft_vote_reply);
@@ -260,11 +260,11 @@
     check_leaders();
   }
 
-  static void finish_writes(soak_node& it) {
+  static void finish_writes(soak_box& it) {
     while (it.up() && it.has_writes()) it.run_disk();
   }
 
-  void deliver_between(const soak_node& from, const soak_node& to,
+  void deliver_between(const soak_box& from, const soak_box& to,
                        proto::raft_kind kind) {
     std::vector<proto::raft_message> found;
     std::erase_if(network_, [&](const proto::raft_message& m) {
@@ -318,12 +318,12 @@
     for (auto& it : nodes_) {
       if (it->applied_index() != nodes_[0]->applied_index()) return false;
     }
-    const soak_node* it = leader();
+    const soak_box* it = leader();
     return it != nullptr && full_membership() && holds_last();
   }
 
   bool full_membership() {
-    const soak_node* it = leader();
+    const soak_box* it = leader();
     const auto& members = nodes_[index_of(it->box())]->it().state().members();
     return members.voters_size() == static_cast<int>(nodes_.size());
   }
@@ -363,7 +363,7 @@
 
   soak_options options_;
   seeded_random random_;
-  std::vector<std::unique_ptr<soak_node>> nodes_;
+  std::vector<std::unique_ptr<soak_box>> nodes_;
   std::vector<proto::raft_message> network_;
   std::set<std::pair<std::string, std::string>> cut_;
   std::map<uint64_t, proto::log_entry> committed_;
--- a/consensus/soak/soak-run.h
+++ b/consensus/soak/soak-run.h
@@ -19,7 +19,7 @@
 namespace kestrelreel {
 
 /// Faults built in on purpose, to show that the invariants catch them.
-enum class soak_break {
+enum class injected_fault {
   none,
   /// A vote counts before it lasts, and is lost by a crash.
   vote_not_synced,
@@ -34,7 +34,7 @@
   uint64_t seed = 1;
   unsigned replicas = 3;
   unsigned steps = 6'000;
-  soak_break fault = soak_break::none;
+  injected_fault fault = injected_fault::none;
 };
 
 /// What a run found and how much happened in it.
--- a/daemon/fleet-record-service.cc
+++ b/daemon/fleet-record-service.cc
@@ -125,7 +125,7 @@
   settings.slow_write_ticks = detail::fleet_slow_write_ticks;
   settings.replica_boxes = context_.settings.seeds;
   // A majority of so many is left when the tolerated ones are lost.
-  settings.wanted_voters = 2 * context_.settings.losses_tolerated + 1;
+  settings.target_voters = 2 * context_.settings.losses_tolerated + 1;
   compaction_settings compaction;
   compaction.bytes = detail::fleet_compaction_bytes;
   compaction.entries = detail::fleet_compaction_entries;
@@ -133,13 +133,14 @@
   replica_ = std::make_unique<replica>(std::move(settings), context_.random,
                                        std::move(*store), *disk_thread_, *this,
                                        compaction);
-  replica_->know_place(context_.settings.box, context_.settings.data_centre);
+  replica_->assign_data_centre(context_.settings.box,
+                               context_.settings.data_centre);
   return absl::OkStatus();
 }
 
 void fleet_record_service::learn_seeds() {
   for (const box_id& it : context_.settings.seeds) {
-    replica_->know_replica_box(it);
+    replica_->add_replica_box(it);
   }
 }
 
@@ -243,7 +244,8 @@
   // boxes as fast as they can read: 7,000 wake-ups a second on idle boxes.
   directory_.heard(from, frame.hello(), context_.clock.now());
   if (!frame.hello().data_centre().empty()) {
-    replica_->know_place(from, data_centre_id(frame.hello().data_centre()));
+    replica_->assign_data_centre(from,
+                                 data_centre_id(frame.hello().data_centre()));
   }
   if (frame.hello().asks() && stream) stream->send(hello());
 }
@@ -351,7 +353,7 @@
 /// Announces a change to the controller and the connected boxes.
 void fleet_record_service::check_role() {
   const raft& it = replica_->state();
-  controller_.leads(it.leads_with_state());
+  controller_.leads(it.is_ready_leader());
   const bool decides = controller_.leading() && may_decide();
   const uint64_t version = controller_.book().config().version();
   const bool changed = it.role() != last_role_ || it.leader() != last_leader_;
--- a/daemon/fleet-record-service.h
+++ b/daemon/fleet-record-service.h
@@ -24,7 +24,7 @@
 /// Runs the replica and the controller, answers the other boxes, and passes
 /// requests on to the leader while another box leads.
 class fleet_record_service final : public service,
-                                   public replica_host,
+                                   public replica_callbacks,
                                    public fleet_log,
                                    public fleet_gateway {
  public:
--- a/daemon/operator-service.cc
+++ b/daemon/operator-service.cc
@@ -178,7 +178,7 @@
     it.set_version_in_force(record_->state().version());
     it.set_applied(record_->state().applied());
   }
-  const milliseconds silent = context_.clock.now() - view.heard;
+  const milliseconds silent = context_.clock.now() - view.last_heard;
   if (view.ever_heard) {
     it.set_silent_ms(static_cast<uint64_t>(silent.count()));
   }
--- a/daemon/record-service.cc
+++ b/daemon/record-service.cc
@@ -130,7 +130,7 @@
     if (leads()) propose(m.proposal().payload());
   });
   network_->subscribe(body::kDigest, [this](const auto& from, const auto& m) {
-    boxes_->heard(from, m.incarnation(), m.digest());
+    boxes_->record_heartbeat(from, m.incarnation(), m.digest());
   });
 }
 
@@ -191,13 +191,13 @@
 
 void record_service::install(const proto::log_snapshot& snapshot) {
   state_.install(snapshot);
-  source_->installed();
+  source_->on_installed();
   changed();
 }
 
 void record_service::apply(const proto::log_entry& entry) {
   state_.apply(entry);
-  source_->applied(entry);
+  source_->on_applied(entry);
   changed();
 }
 
@@ -236,7 +236,7 @@
   for (const proto::log_entry& it : reply.entries()) {
     if (it.index() == state_.applied() + 1) apply(it);
   }
-  sink_->answered(from, reply, state_.applied());
+  sink_->on_reply(from, reply, state_.applied());
 }
 
 void record_service::tick() {
@@ -261,10 +261,10 @@
   digest.set_applied(state_.applied());
   digest.set_stopping(context_.stopping);
   for (const auto& it : heartbeat_handlers_) it(digest);
-  boxes_->heard(context_.settings.box, context_.incarnation, digest);
+  boxes_->record_heartbeat(context_.settings.box, context_.incarnation, digest);
   for (const box_entry& it : boxes_->boxes()) {
     if (it.id == context_.settings.box) continue;
-    if (to_all || boxes_->near(it.id)) network_->send(it.id, m);
+    if (to_all || boxes_->is_local(it.id)) network_->send(it.id, m);
   }
 }
 
--- a/daemon/record-service.h
+++ b/daemon/record-service.h
@@ -21,7 +21,7 @@
 namespace kestrelreel {
 
 /// What other services may ask of the record.
-class record_service final : public service, public replica_host {
+class record_service final : public service, public replica_callbacks {
  public:
   explicit record_service(process_context& context);
   ~record_service() override;
--- a/fleet/refused-test-box.h
+++ b/fleet/refused-test-box.h
@@ -24,8 +24,8 @@
 constexpr uint64_t most_tasks = 25;
 
 /// A replica that crashes, is held up, and whose disk is slow or full.
-class control_box final : public replica_host,
-                          public blocking_queue,
+class control_box final : public replica_callbacks,
+                          public serial_executor,
                           public fleet_log {
  public:
   using send_function = std::function<void(const proto::raft_message&)>;
@@ -176,9 +176,7 @@
     controller_->tick();
   }
 
-  void check_role() {
-    controller_->leads(replica_->state().leads_with_state());
-  }
+  void check_role() { controller_->leads(replica_->state().is_ready_leader()); }
 
   std::string name_;
   std::vector<std::string> all_;
--- a/net/blocking-thread.h
+++ b/net/blocking-thread.h
@@ -11,7 +11,7 @@
 namespace kestrelreel {
 
 /// Runs work on one thread of its own and returns to the io_context's.
-class blocking_thread final : public blocking_queue {
+class blocking_thread final : public serial_executor {
  public:
   explicit blocking_thread(boost::asio::io_context& io) : io_(io) {}
   /// Waits for the work under way.
--- a/record/box-table-test.cc
+++ b/record/box-table-test.cc
@@ -32,7 +32,7 @@
   for (const auto& row : rows) {
     virtual_clock clock;
     box_table table(box_id("a1"), entries, clock);
-    table.heard(box_id(row.box), 1, {});
+    table.record_heartbeat(box_id(row.box), 1, {});
     clock.at += milliseconds(row.silent_ms);
     CHECK_EQUAL_TEXT(row.live, table.live(box_id(row.box)), row.box);
   }
@@ -49,19 +49,19 @@
   box_table table(box_id("a1"), entries, clock);
   proto::box_digest digest;
   digest.set_version_in_force(7);
-  table.heard(box_id("a2"), 5, digest);
+  table.record_heartbeat(box_id("a2"), 5, digest);
   digest.set_version_in_force(3);
-  table.heard(box_id("a2"), 4, digest);
+  table.record_heartbeat(box_id("a2"), 4, digest);
   CHECK_EQUAL(7, table.view(box_id("a2")).digest.version_in_force());
 }
 
 TEST(box_table, a_stopping_box_serves_no_more) {
   virtual_clock clock;
   box_table table(box_id("a1"), entries, clock);
-  table.heard(box_id("a2"), 1, {});
+  table.record_heartbeat(box_id("a2"), 1, {});
   CHECK_EQUAL(2, table.serving_in(data_centre_id("a")).size());
   proto::box_digest digest;
   digest.set_stopping(true);
-  table.heard(box_id("a2"), 1, digest);
+  table.record_heartbeat(box_id("a2"), 1, digest);
   CHECK_EQUAL(1, table.serving_in(data_centre_id("a")).size());
 }
--- a/record/box-table.cc
+++ b/record/box-table.cc
@@ -10,14 +10,14 @@
   for (const box_entry& it : boxes_) views_[it.id];
 }
 
-void box_table::heard(const box_id& box, uint64_t incarnation,
-                      const proto::box_digest& digest) {
+void box_table::record_heartbeat(const box_id& box, uint64_t incarnation,
+                                 const proto::box_digest& digest) {
   const auto found = views_.find(box);
   if (found == views_.end()) return;
   box_view& it = found->second;
   if (incarnation < it.incarnation) return;
   it.incarnation = incarnation;
-  it.heard = clock_.now();
+  it.last_heard = clock_.now();
   it.ever_heard = true;
   it.digest = digest;
 }
@@ -38,11 +38,11 @@
 bool box_table::live(const box_id& box) const {
   if (box == self_) return true;
   const box_view& it = view(box);
-  const milliseconds limit = near(box) ? near_silence : far_silence;
-  return it.ever_heard && clock_.now() - it.heard < limit;
+  const milliseconds limit = is_local(box) ? local_timeout : remote_timeout;
+  return it.ever_heard && clock_.now() - it.last_heard < limit;
 }
 
-bool box_table::near(const box_id& box) const {
+bool box_table::is_local(const box_id& box) const {
   const box_entry* it = find(box);
   return it != nullptr && it->data_centre == own_data_centre();
 }
--- a/record/box-table.h
+++ b/record/box-table.h
@@ -25,7 +25,7 @@
 /// What a box last told of itself.
 struct box_view {
   uint64_t incarnation = 0;
-  time_point heard{};
+  time_point last_heard{};
   bool ever_heard = false;
   proto::box_digest digest;
 };
@@ -35,14 +35,14 @@
  public:
   /// A box silent for this long counts as dead, in this box's data centre and
   /// in others: the nearer the box, the more depends on knowing.
-  static constexpr milliseconds near_silence{2'000};
-  static constexpr milliseconds far_silence{6'000};
+  static constexpr milliseconds local_timeout{2'000};
+  static constexpr milliseconds remote_timeout{6'000};
 
   box_table(box_id self, std::vector<box_entry> boxes, clock_source& clock);
 
   /// Notes a heartbeat; one of an older incarnation is ignored.
-  void heard(const box_id& box, uint64_t incarnation,
-             const proto::box_digest& digest);
+  void record_heartbeat(const box_id& box, uint64_t incarnation,
+                        const proto::box_digest& digest);
 
   const box_id& self() const { return self_; }
   const std::vector<box_entry>& boxes() const { return boxes_; }
@@ -52,7 +52,7 @@
   /// True for this box and for those heard lately.
   bool live(const box_id& box) const;
   /// True for boxes of this box's data centre.
-  bool near(const box_id& box) const;
+  bool is_local(const box_id& box) const;
   /// The boxes of a data centre, in the order of the settings.
   std::vector<box_id> in_data_centre(const data_centre_id& it) const;
   /// Those of them that are live and not about to stop.
--- a/record/feed-choice-test.cc
+++ b/record/feed-choice-test.cc
@@ -51,7 +51,7 @@
   for (milliseconds t{0}; t < length; t += milliseconds(100)) {
     clock.at += milliseconds(100);
     for (const box_entry& from : entries) {
-      table.heard(from.id, 1, proto::box_digest());
+      table.record_heartbeat(from.id, 1, proto::box_digest());
     }
     sink.tick(0);
   }
--- a/record/feed-test.cc
+++ b/record/feed-test.cc
@@ -42,7 +42,7 @@
     }
     void apply(const proto::log_entry& entry) {
       state.apply(entry);
-      source->applied(entry);
+      source->on_applied(entry);
     }
     box_id id;
     box_table table;
@@ -74,7 +74,7 @@
   void heartbeat(box& from) {
     proto::box_digest digest;
     digest.set_applied(from.state.applied());
-    for (box* to : {&r, &e, &f}) to->table.heard(from.id, 1, digest);
+    for (box* to : {&r, &e, &f}) to->table.record_heartbeat(from.id, 1, digest);
   }
 
   void step(unsigned loss_percent) {
@@ -99,10 +99,10 @@
     if (!it.m.has_fed()) return;
     if (const auto* whole = to.sink->take_snapshot(it.from, it.m.fed())) {
       to.state.install(*whole);
-      to.source->installed();
+      to.source->on_installed();
     }
     for (const auto& entry : it.m.fed().entries()) to.apply(entry);
-    to.sink->answered(it.from, it.m.fed(), to.state.applied());
+    to.sink->on_reply(it.from, it.m.fed(), to.state.applied());
   }
 };
 
@@ -146,7 +146,7 @@
 TEST(feed, a_box_far_behind_gets_a_snapshot) {
   feed_world world;
   for (int i = 0; i < 10; ++i) world.commit();
-  world.r.source->installed();
+  world.r.source->on_installed();
   for (int i = 0; i < 20; ++i) world.step(0);
   CHECK_EQUAL(10, world.e.state.version());
 }
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -58,7 +58,7 @@
   explicit slow_feed(const scenario& it)
       : scenario_(it), boxes_(box_id("fed"), entries_, clock_) {
     for (size_t i = 0; i < it.entries; ++i) commit();
-    if (it.snapshot) source_.installed();
+    if (it.snapshot) source_.on_installed();
   }
 
   void pass(int ms) {
@@ -83,7 +83,7 @@
     entry.set_kind(proto::entry_command);
     entry.set_payload(command.SerializeAsString());
     state_.apply(entry);
-    source_.applied(entry);
+    source_.on_applied(entry);
   }
 
   void step() {
@@ -92,8 +92,8 @@
     if (now_ % tick_ms == 0) {
       proto::box_digest ahead;
       ahead.set_applied(state_.applied());
-      boxes_.heard(box_id("source"), 1, ahead);
-      if (scenario_.other) boxes_.heard(box_id("silent"), 1, ahead);
+      boxes_.record_heartbeat(box_id("source"), 1, ahead);
+      if (scenario_.other) boxes_.record_heartbeat(box_id("silent"), 1, ahead);
       sink_.tick(fed_.applied());
       source_.flush();
     }
@@ -128,7 +128,7 @@
     if (whole) fed_.install(*whole);
     for (const auto& it : reply.entries()) fed_.apply(it);
     if (scenario_.earlier_version) reply.set_acknowledge(false);
-    sink_.answered(from, reply, fed_.applied());
+    sink_.on_reply(from, reply, fed_.applied());
   }
 
   void put_on_link(proto::peer_message m) {
--- a/record/feed.cc
+++ b/record/feed.cc
@@ -22,7 +22,7 @@
                          send_function send)
     : state_(state), clock_(clock), send_(std::move(send)) {}
 
-void feed_source::applied(const proto::log_entry& entry) {
+void feed_source::on_applied(const proto::log_entry& entry) {
   recent_.push_back(entry);
   recent_bytes_ += entry.ByteSizeLong();
   while (recent_bytes_ > detail::recent_limit && recent_.size() > 1) {
@@ -31,7 +31,7 @@
   }
 }
 
-void feed_source::installed() {
+void feed_source::on_installed() {
   recent_.clear();
   recent_bytes_ = 0;
 }
@@ -210,7 +210,7 @@
   return now - std::max(*behind_since_, part_came_) > detail::source_patience;
 }
 
-void feed_sink::answered(const box_id& from, const proto::feed_reply& reply,
+void feed_sink::on_reply(const box_id& from, const proto::feed_reply& reply,
                          uint64_t applied) {
   if (from != source_) return;
   answered_ = clock_.now();
--- a/record/feed.h
+++ b/record/feed.h
@@ -37,9 +37,9 @@
               send_function send);
 
   /// An entry was applied here.
-  void applied(const proto::log_entry& entry);
+  void on_applied(const proto::log_entry& entry);
   /// A snapshot was installed here: earlier entries can't be given any more.
-  void installed();
+  void on_installed();
   /// A box asks for what follows `request.applied()`.
   void on_request(const box_id& from, const proto::feed_request& request,
                   const std::string& leader);
@@ -85,7 +85,7 @@
   const proto::log_snapshot* take_snapshot(const box_id& from,
                                            const proto::feed_reply& reply);
   /// A reply was taken from a box; `applied` is the last entry here after it.
-  void answered(const box_id& from, const proto::feed_reply& reply,
+  void on_reply(const box_id& from, const proto::feed_reply& reply,
                 uint64_t applied);
 
  private:
--- a/support/capacity/record.cc
+++ b/support/capacity/record.cc
@@ -75,7 +75,7 @@
 
 /// One of three replicas in this process, each with a folder and a disk thread
 /// of its own; messages go through the io_context.
-class bench_replica final : public replica_host {
+class bench_replica final : public replica_callbacks {
  public:
   using peers = std::vector<std::unique_ptr<bench_replica>>;
 
--- a/support/fuzzing/log-fuzz.cc
+++ b/support/fuzzing/log-fuzz.cc
@@ -14,8 +14,8 @@
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const auto log = parse_log(std::string(bytes));
   if (!log.ok()) return 0;
-  if (log->sound_bytes > size) std::abort();
-  const auto again = parse_log(std::string(bytes.substr(0, log->sound_bytes)));
-  if (!again.ok() || again->sound_bytes != log->sound_bytes) std::abort();
+  if (log->valid_bytes > size) std::abort();
+  const auto again = parse_log(std::string(bytes.substr(0, log->valid_bytes)));
+  if (!again.ok() || again->valid_bytes != log->valid_bytes) std::abort();
   return 0;
 }
