--- a/consensus/follower-progress.h
+++ b/consensus/follower-progress.h
@@ -25,11 +25,11 @@
   /// nothing is held of an earlier one, and goes back to what the follower
   /// said last when nothing moved for a time that doubles with each going back,
   /// as a slow link takes long for what is on its way already.
-  void prepare(const snapshot_pointer& newest, unsigned least_ticks);
+  void prepare(const snapshot_pointer& newest, unsigned min_retry_ticks);
   void part_sent(size_t bytes) { sent_ += bytes; }
   /// The follower holds so much of it.
-  void held(size_t offset);
-  void tick() { quiet_ticks_ += snapshot_ ? 1 : 0; }
+  void acknowledge(size_t offset);
+  void tick() { idle_ticks_ += snapshot_ ? 1 : 0; }
 
  private:
   void begin(const snapshot_pointer& it);
@@ -38,10 +38,10 @@
   size_t acknowledged_ = 0;
   size_t sent_ = 0;
   // What the follower said last: less than before, if it started again.
-  size_t held_ = 0;
+  size_t reported_ = 0;
   // Since something was acknowledged, and after how many to go back.
-  unsigned quiet_ticks_ = 0;
-  unsigned patience_ = 0;
+  unsigned idle_ticks_ = 0;
+  unsigned retry_ticks_ = 0;
 };
 
 /// A follower of this replica, while it leads.
@@ -61,7 +61,7 @@
   /// entries sent meanwhile would be refused as well.
   bool probing() const { return probing_; }
   /// Bytes of entries that were sent and not acknowledged.
-  size_t bytes_out() const { return bytes_out_; }
+  size_t bytes_in_flight() const { return bytes_in_flight_; }
 
   /// Nothing is known of it but that it may hold all up to `last`.
   void start_after(uint64_t last) { next_ = last + 1; }
@@ -70,18 +70,18 @@
   void accepted(uint64_t match);
   /// It refused an append after `previous` (0: not told) and may match at
   /// `hint`. False for what answers no question that is still open.
-  bool refused(uint64_t previous, uint64_t hint);
+  bool rejected(uint64_t previous, uint64_t hint);
 
  private:
-  struct batch {
+  struct sent_batch {
     uint64_t last;
     size_t bytes;
   };
   uint64_t match_ = 0;
   uint64_t next_ = 1;
   bool probing_ = false;
-  std::deque<batch> out_;
-  size_t bytes_out_ = 0;
+  std::deque<sent_batch> in_flight_;
+  size_t bytes_in_flight_ = 0;
 };
 
 }  // namespace kestrelreel
--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr unsigned boxes = 3;
+constexpr unsigned box_count = 3;
 constexpr milliseconds tick{100};
 constexpr unsigned election_ticks = 8;
 constexpr milliseconds lease_time{650};
 
 /// A replica whose disk is instant, and its lease.
-struct lease_node {
+struct lease_box {
   raft_state disk;
   std::unique_ptr<raft> it;
   std::unique_ptr<leader_lease> lease;
@@ -34,37 +34,37 @@
   bool delay_first_vote = true;
   bool suspends = false;
   /// The boxes' clocks count the time for which they were suspended.
-  bool counts_suspension = true;
+  bool clock_counts_suspension = true;
 };
 
 class lease_run {
  public:
   lease_run(uint64_t seed, const lease_options& options)
       : random_(seed), options_(options) {
-    for (unsigned i = 0; i < boxes; ++i) {
+    for (unsigned i = 0; i < box_count; ++i) {
       proto::replica& voter = *founders_.add_voters();
       voter.set_box(name(i));
       voter.set_identity("founder");
     }
-    for (unsigned i = 0; i < boxes; ++i) {
-      nodes_[i].disk.founding = founders_;
+    for (unsigned i = 0; i < box_count; ++i) {
+      boxes_[i].disk.founding = founders_;
       start(i);
     }
   }
 
   /// Steps in which two boxes could decide.
   unsigned run(unsigned steps) {
-    unsigned clashes = 0;
+    unsigned conflicts = 0;
     for (unsigned i = 0; i < steps; ++i) {
       step();
       unsigned deciding = 0;
-      for (lease_node& it : nodes_) {
+      for (lease_box& it : boxes_) {
         if (is_awake(it) && it.lease->valid(*it.it, clock_of(it))) ++deciding;
       }
       decided_ += deciding > 0 ? 1 : 0;
-      clashes += deciding > 1 ? 1 : 0;
+      conflicts += deciding > 1 ? 1 : 0;
     }
-    return clashes;
+    return conflicts;
   }
   unsigned decided() const { return decided_; }
 
@@ -77,17 +77,17 @@
     settings.identity = "founder";
     settings.election_ticks = election_ticks;
     settings.delay_first_vote = options_.delay_first_vote;
-    nodes_[i].it = std::make_unique<raft>(settings, random_, nodes_[i].disk);
-    nodes_[i].lease = std::make_unique<leader_lease>(lease_time);
+    boxes_[i].it = std::make_unique<raft>(settings, random_, boxes_[i].disk);
+    boxes_[i].lease = std::make_unique<leader_lease>(lease_time);
   }
 
-  bool is_awake(const lease_node& it) const { return now_ >= it.wakes_at; }
-  time_point clock_of(const lease_node& it) const {
-    return options_.counts_suspension ? now_ : now_ - it.suspended;
+  bool is_awake(const lease_box& it) const { return now_ >= it.wakes_at; }
+  time_point clock_of(const lease_box& it) const {
+    return options_.clock_counts_suspension ? now_ : now_ - it.suspended;
   }
 
   void suspend_one() {
-    lease_node& it = nodes_[random_.below(boxes)];
+    lease_box& it = boxes_[random_.below(box_count)];
     if (!is_awake(it)) return;
     const milliseconds n = tick * static_cast<int64_t>(10 + random_.below(50));
     it.wakes_at = now_ + n;
@@ -95,48 +95,48 @@
   }
 
   void pump(unsigned i) {
-    lease_node& node = nodes_[i];
+    lease_box& box = boxes_[i];
     for (;;) {
-      raft_actions actions = node.it->take();
+      raft_actions actions = box.it->take_actions();
       for (auto& m : actions.messages) {
         const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
         if (!cut_[i][to]) network_.push_back(m);
       }
       if (!actions.persist) return;
-      if (actions.persist->hard) node.disk.hard = *actions.persist->hard;
+      if (actions.persist->hard) box.disk.hard = *actions.persist->hard;
       for (const proto::log_entry& it : actions.persist->entries) {
-        node.disk.entries.resize(it.index() - 1);
-        node.disk.entries.push_back(it);
+        box.disk.entries.resize(it.index() - 1);
+        box.disk.entries.push_back(it);
       }
-      node.it->persisted();
+      box.it->persisted();
     }
   }
 
   void step() {
     now_ += tick;
     const uint64_t dice = random_.below(100);
-    if (dice < 5) start(static_cast<unsigned>(random_.below(boxes)));
+    if (dice < 5) start(static_cast<unsigned>(random_.below(box_count)));
     if (dice >= 5 && dice < 13) {
-      cut_[random_.below(boxes)][random_.below(boxes)] = true;
+      cut_[random_.below(box_count)][random_.below(box_count)] = true;
     }
     if (dice >= 13 && dice < 20) {
       for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
     }
     if (options_.suspends && dice >= 20 && dice < 26) suspend_one();
     // One that wakes up may decide before its first tick.
-    for (unsigned i = 0; i < boxes; ++i) {
-      if (now_ <= nodes_[i].wakes_at) continue;
-      nodes_[i].lease->before_tick(clock_of(nodes_[i]));
-      nodes_[i].it->tick();
-      nodes_[i].lease->after_tick(*nodes_[i].it);
+    for (unsigned i = 0; i < box_count; ++i) {
+      if (now_ <= boxes_[i].wakes_at) continue;
+      boxes_[i].lease->before_tick(clock_of(boxes_[i]));
+      boxes_[i].it->tick();
+      boxes_[i].lease->after_tick(*boxes_[i].it);
       pump(i);
     }
     for (unsigned n = 0; n < 60 && !network_.empty(); ++n) {
       const proto::raft_message m = network_.front();
       network_.pop_front();
       const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
-      if (now_ <= nodes_[to].wakes_at) continue;
-      nodes_[to].it->step(m);
+      if (now_ <= boxes_[to].wakes_at) continue;
+      boxes_[to].it->step(m);
       pump(to);
     }
     network_.clear();
@@ -145,8 +145,9 @@
   seeded_random random_;
   lease_options options_;
   proto::membership founders_;
-  lease_node nodes_[boxes];
-  std::vector<std::vector<bool>> cut_{boxes, std::vector<bool>(boxes, false)};
+  lease_box boxes_[box_count];
+  std::vector<std::vector<bool>> cut_{box_count,
+                                      std::vector<bool>(box_count, false)};
   std::deque<proto::raft_message> network_;
   time_point now_{10'000};
   unsigned decided_ = 0;
@@ -167,11 +168,11 @@
 }
 
 TEST(leader_lease, without_the_quiet_start_two_may_decide) {
-  unsigned clashes = 0;
-  for (uint64_t seed = 1; seed <= 3'000 && clashes == 0; ++seed) {
-    clashes += lease_run(seed, {.delay_first_vote = false}).run(400);
+  unsigned conflicts = 0;
+  for (uint64_t seed = 1; seed <= 3'000 && conflicts == 0; ++seed) {
+    conflicts += lease_run(seed, {.delay_first_vote = false}).run(400);
   }
-  CHECK_TRUE(clashes > 0);
+  CHECK_TRUE(conflicts > 0);
 }
 
 TEST(leader_lease, never_two_that_decide_though_boxes_are_suspended) {
@@ -186,10 +187,11 @@
 
 // By the steady clock, which stands still meanwhile.
 TEST(leader_lease, by_a_clock_that_leaves_suspensions_out_two_may_decide) {
-  const lease_options options{.suspends = true, .counts_suspension = false};
-  unsigned clashes = 0;
-  for (uint64_t seed = 1; seed <= 300 && clashes == 0; ++seed) {
-    clashes += lease_run(seed, options).run(400);
+  const lease_options options{.suspends = true,
+                              .clock_counts_suspension = false};
+  unsigned conflicts = 0;
+  for (uint64_t seed = 1; seed <= 300 && conflicts == 0; ++seed) {
+    conflicts += lease_run(seed, options).run(400);
   }
-  CHECK_TRUE(clashes > 0);
+  CHECK_TRUE(conflicts > 0);
 }
--- a/consensus/log-store-cut-test.cc
+++ b/consensus/log-store-cut-test.cc
@@ -33,7 +33,7 @@
 
 /// A folder in memory that is short of room on request. A file that was
 /// replaced lives on, without a name, for those who have it open.
-class tight_disk final : public disk {
+class faulty_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override {
     const auto it = files_.find(name);
@@ -59,7 +59,7 @@
  private:
   class file final : public append_file {
    public:
-    file(const tight_disk& owner, std::shared_ptr<std::string> bytes)
+    file(const faulty_disk& owner, std::shared_ptr<std::string> bytes)
         : owner_(owner), bytes_(std::move(bytes)) {}
     absl::Status append(std::string_view bytes) override {
       const bool full =
@@ -74,7 +74,7 @@
     }
 
    private:
-    const tight_disk& owner_;
+    const faulty_disk& owner_;
     std::shared_ptr<std::string> bytes_;
   };
 
@@ -100,13 +100,13 @@
   return it;
 }
 
-enum class road { batch, batch_with_snapshot, compaction };
+enum class write_path { batch, batch_with_snapshot, compaction };
 
-absl::Status take(log_store& store, road by) {
-  if (by == road::compaction) {
+absl::Status write_by(log_store& store, write_path by) {
+  if (by == write_path::compaction) {
     return store.compact(*snapshot_at(4), batch_of(5, 6).entries);
   }
-  if (by == road::batch) return store.write(batch_of(7, 8));
+  if (by == write_path::batch) return store.write(batch_of(7, 8));
   persist_batch batch = batch_of(5, 6);
   batch.snapshot = snapshot_at(4);
   return store.write(batch);
@@ -118,36 +118,36 @@
 
 TEST(log_store_cut, full_is_told_only_where_the_store_may_be_used_again) {
   struct row {
-    road by;
+    write_path by;
     fault what;
-    bool told_full;
+    bool reports_full;
   };
   const row rows[] = {
-      {road::batch, fault::append, true},
-      {road::batch, fault::sync, true},
-      {road::batch, fault::append_and_open, false},
-      {road::batch, fault::sync_and_open, false},
-      {road::compaction, fault::open, false},
-      {road::batch_with_snapshot, fault::open, false},
+      {write_path::batch, fault::append, true},
+      {write_path::batch, fault::sync, true},
+      {write_path::batch, fault::append_and_open, false},
+      {write_path::batch, fault::sync_and_open, false},
+      {write_path::compaction, fault::open, false},
+      {write_path::batch_with_snapshot, fault::open, false},
   };
   for (const row& it : rows) {
-    tight_disk folder;
+    faulty_disk folder;
     auto store = *log_store::create(folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
     folder.now = it.what;
-    const absl::Status status = take(*store, it.by);
+    const absl::Status status = write_by(*store, it.by);
     folder.now = fault::none;
     CHECK_FALSE(status.ok());
     // Who is told that the disk is full writes it again once there is room.
-    const bool told_full = absl::IsResourceExhausted(status);
-    const bool again = told_full && store->write(batch_of(7, 8)).ok();
+    const bool reports_full = absl::IsResourceExhausted(status);
+    const bool again = reports_full && store->write(batch_of(7, 8)).ok();
     const auto found = log_store::open(folder, self);
     CHECK_TEXT(found.ok(), found.status().ToString().c_str());
     const raft_state state = (*found)->take_state();
     const uint64_t base = state.snapshot ? state.snapshot->index() : 0;
     const uint64_t last = base + state.entries.size();
     CHECK_TEXT(last >= (again ? 8 : 6), str_cat("found ", last).c_str());
-    CHECK_EQUAL(it.told_full, told_full);
-    CHECK_EQUAL(it.told_full, again);
+    CHECK_EQUAL(it.reports_full, reports_full);
+    CHECK_EQUAL(it.reports_full, again);
   }
 }
--- a/consensus/log-store-faults-test.cc
+++ b/consensus/log-store-faults-test.cc
@@ -22,9 +22,9 @@
 
 namespace {
 
-enum class full_at { nothing, file, folder };
+enum class full_target { nothing, file, folder };
 // What `fsync` below finds no room for.
-full_at full = full_at::nothing;
+full_target full = full_target::nothing;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 extern "C" int fsync(int fd) {
   struct stat info {};
   const bool folder = ::fstat(fd, &info) == 0 && S_ISDIR(info.st_mode);
-  if (full == (folder ? full_at::folder : full_at::file)) {
+  if (full == (folder ? full_target::folder : full_target::file)) {
     errno = ENOSPC;
     return -1;
   }
@@ -45,14 +45,14 @@
 const box_id self("b0");
 
 /// A folder of the machine, gone with the test.
-class own_folder {
+class temporary_folder {
  public:
-  own_folder() {
+  temporary_folder() {
     std::string name =
         (std::filesystem::temp_directory_path() / "log-faults-XXXXXX").string();
     path_ = ::mkdtemp(name.data());
   }
-  ~own_folder() { std::filesystem::remove_all(path_); }
+  ~temporary_folder() { std::filesystem::remove_all(path_); }
   std::unique_ptr<folder_disk> open() const {
     return std::move(*folder_disk::open_folder(path_));
   }
@@ -80,10 +80,10 @@
   return it;
 }
 
-enum class road { compaction, batch_with_snapshot };
+enum class write_path { compaction, batch_with_snapshot };
 
-absl::Status take(log_store& store, road by) {
-  if (by == road::compaction) {
+absl::Status write_by(log_store& store, write_path by) {
+  if (by == write_path::compaction) {
     return store.compact(*snapshot_at(4), batch_of(5, 6).entries);
   }
   persist_batch batch = batch_of(5, 6);
@@ -101,7 +101,7 @@
 }
 
 /// Runs what is queued when told to.
-class told_queue final : public serial_executor {
+class manual_executor final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
            std::function<void(absl::Status)> done) override {
@@ -120,7 +120,7 @@
   std::deque<std::function<void()>> waiting_;
 };
 
-class noting_host final : public replica_callbacks {
+class recording_callbacks final : public replica_callbacks {
  public:
   void send(const proto::raft_message&) override {}
   void install(const proto::log_snapshot&) override {}
@@ -135,7 +135,7 @@
   int failed = 0;
 };
 
-proto::membership itself_alone() {
+proto::membership single_voter() {
   proto::membership members;
   proto::replica& it = *members.add_voters();
   it.set_box(self.str());
@@ -144,72 +144,74 @@
 }
 
 /// A record of one replica that compacts after two entries.
-struct lone_replica {
-  explicit lone_replica(disk& folder) {
+struct single_replica {
+  explicit single_replica(disk& folder) {
     raft_settings settings;
     settings.self = self;
     settings.identity = "founder";
-    auto store = log_store::create(folder, self, "founder", itself_alone());
+    auto store = log_store::create(folder, self, "founder", single_voter());
     compaction_settings compaction;
     compaction.entries = 2;
-    it = std::make_unique<replica>(settings, random, std::move(*store), queue,
-                                   host, compaction);
+    it = std::make_unique<replica>(settings, random, std::move(*store),
+                                   executor, callbacks, compaction);
   }
   void tick(unsigned times) {
-    for (unsigned i = 0; i < times && host.failed == 0; ++i) {
+    for (unsigned i = 0; i < times && callbacks.failed == 0; ++i) {
       it->tick();
-      queue.drain();
+      executor.drain();
     }
   }
 
   seeded_random random{7};
-  told_queue queue;
-  noting_host host;
+  manual_executor executor;
+  recording_callbacks callbacks;
   std::unique_ptr<replica> it;
 };
 
 }  // namespace
 
-TEST_GROUP(log_store_faults){void teardown() override{full = full_at::nothing;
+TEST_GROUP(log_store_faults){void teardown()
+                                 override{full = full_target::nothing;
 }
 }
 ;
 
 TEST(log_store_faults, full_is_told_only_while_the_old_file_has_its_name) {
   struct row {
-    road by;
-    full_at at;
-    bool told_full;
+    write_path by;
+    full_target at;
+    bool reports_full;
   };
-  const row rows[] = {{road::compaction, full_at::file, true},
-                      {road::compaction, full_at::folder, false},
-                      {road::batch_with_snapshot, full_at::file, true},
-                      {road::batch_with_snapshot, full_at::folder, false}};
+  const row rows[] = {
+      {write_path::compaction, full_target::file, true},
+      {write_path::compaction, full_target::folder, false},
+      {write_path::batch_with_snapshot, full_target::file, true},
+      {write_path::batch_with_snapshot, full_target::folder, false}};
   for (const row& it : rows) {
-    const own_folder where;
-    auto folder = where.open();
+    const temporary_folder temporary;
+    auto folder = temporary.open();
     auto store = *log_store::create(*folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
     full = it.at;
-    const absl::Status status = take(*store, it.by);
-    full = full_at::nothing;
+    const absl::Status status = write_by(*store, it.by);
+    full = full_target::nothing;
     CHECK_FALSE(status.ok());
-    const bool told_full = absl::IsResourceExhausted(status);
+    const bool reports_full = absl::IsResourceExhausted(status);
     // Who is told that the disk is full goes on with this store.
-    const bool more = told_full && store->write(batch_of(7, 8)).ok();
+    const bool wrote_again = reports_full && store->write(batch_of(7, 8)).ok();
     store.reset();
     folder.reset();
-    const uint64_t found = last_entry(*where.open());
-    CHECK_EQUAL(more ? 8 : 6, found);
-    CHECK_EQUAL(it.told_full, told_full);
+    const uint64_t found = last_entry(*temporary.open());
+    CHECK_EQUAL(wrote_again ? 8 : 6, found);
+    CHECK_EQUAL(it.reports_full, reports_full);
   }
 }
 
 TEST(log_store_faults, nothing_acknowledged_after_a_failed_compaction_is_lost) {
-  for (const full_at at : {full_at::file, full_at::folder}) {
-    const own_folder where;
-    auto folder = where.open();
-    auto run = std::make_unique<lone_replica>(*folder);
+  for (const full_target at : {full_target::file, full_target::folder}) {
+    const temporary_folder temporary;
+    auto folder = temporary.open();
+    auto run = std::make_unique<single_replica>(*folder);
     run->tick(40);
     CHECK_TRUE(run->it->propose("a").ok());
     full = at;
@@ -217,16 +219,16 @@
       (void)run->it->propose(str_cat("b", i)).ok();
       run->tick(1);
     }
-    full = full_at::nothing;
-    const noting_host told = run->host;
+    full = full_target::nothing;
+    const recording_callbacks reported = run->callbacks;
     run.reset();
     folder.reset();
-    const uint64_t found = last_entry(*where.open());
+    const uint64_t found = last_entry(*temporary.open());
     CHECK_TEXT(
-        found >= told.applied,
-        str_cat("acknowledged ", told.applied, ", found ", found).c_str());
-    CHECK_EQUAL(at == full_at::file, told.full > 0);
-    CHECK_EQUAL(at == full_at::folder ? 1 : 0, told.failed);
+        found >= reported.applied,
+        str_cat("acknowledged ", reported.applied, ", found ", found).c_str());
+    CHECK_EQUAL(at == full_target::file, reported.full > 0);
+    CHECK_EQUAL(at == full_target::folder ? 1 : 0, reported.failed);
   }
 }
 
@@ -236,15 +238,15 @@
 // gone with the next loss of power. So a start syncs the file and the folder,
 // and is none where that fails.
 TEST(log_store_faults, a_start_counts_only_what_it_could_sync) {
-  for (const full_at at : {full_at::file, full_at::folder}) {
-    const own_folder where;
-    auto folder = where.open();
+  for (const full_target at : {full_target::file, full_target::folder}) {
+    const temporary_folder temporary;
+    auto folder = temporary.open();
     auto store = *log_store::create(*folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
     store.reset();
     full = at;
     const bool started = log_store::open(*folder, self).ok();
-    full = full_at::nothing;
+    full = full_target::nothing;
     CHECK_FALSE(started);
     const uint64_t found = last_entry(*folder);
     CHECK_EQUAL(6, found);
--- a/consensus/log-store.cc
+++ b/consensus/log-store.cc
@@ -10,15 +10,15 @@
 
 constexpr const char* log_file = "log";
 constexpr uint32_t format_version = 1;
-constexpr uint32_t record_mark = 0x6b726c31;
+constexpr uint32_t record_magic = 0x6b726c31;
 
 /// What stands before each record's bytes.
-struct record_head {
-  uint32_t mark;
+struct record_prefix {
+  uint32_t magic;
   uint32_t length;
   uint32_t checksum;
 };
-static_assert(sizeof(record_head) == 12, "the format has no padding");
+static_assert(sizeof(record_prefix) == 12, "the format has no padding");
 
 uint32_t checksum(std::string_view bytes) {
   boost::crc_optimal<32, 0x1edc6f41, 0xffffffff, 0xffffffff, true, true> crc;
@@ -28,8 +28,8 @@
 
 std::string encode(const proto::disk_record& record) {
   const std::string body = record.SerializeAsString();
-  record_head head{record_mark, static_cast<uint32_t>(body.size()),
-                   checksum(body)};
+  record_prefix head{record_magic, static_cast<uint32_t>(body.size()),
+                     checksum(body)};
   std::string out(sizeof(head), '\0');
   std::memcpy(out.data(), &head, sizeof(head));
   return out + body;
@@ -38,10 +38,10 @@
 /// Reads the record at `at`; false when there is no sound one.
 bool decode(std::string_view bytes, size_t at, proto::disk_record& record,
             size_t& end) {
-  record_head head{};
+  record_prefix head{};
   if (bytes.size() - at < sizeof(head)) return false;
   std::memcpy(&head, bytes.data() + at, sizeof(head));
-  if (head.mark != record_mark) return false;
+  if (head.magic != record_magic) return false;
   const std::string_view rest = bytes.substr(at + sizeof(head));
   if (head.length > rest.size()) return false;
   const std::string_view body = rest.substr(0, head.length);
@@ -50,13 +50,13 @@
   return record.ParseFromArray(body.data(), static_cast<int>(body.size()));
 }
 
-bool sound_record_after(std::string_view bytes, size_t at) {
-  const std::string mark(reinterpret_cast<const char*>(&record_mark),
-                         sizeof(record_mark));
+bool has_valid_record_after(std::string_view bytes, size_t at) {
+  const std::string magic(reinterpret_cast<const char*>(&record_magic),
+                          sizeof(record_magic));
   proto::disk_record record;
   size_t end = 0;
-  for (size_t i = bytes.find(mark, at + 1); i != std::string_view::npos;
-       i = bytes.find(mark, i + 1)) {
+  for (size_t i = bytes.find(magic, at + 1); i != std::string_view::npos;
+       i = bytes.find(magic, i + 1)) {
     if (decode(bytes, i, record, end)) return true;
   }
   return false;
@@ -118,7 +118,7 @@
   if (log.valid_bytes == 0) {
     return absl::DataLossError("log file does not begin with a sound record");
   }
-  if (detail::sound_record_after(bytes, log.valid_bytes)) {
+  if (detail::has_valid_record_after(bytes, log.valid_bytes)) {
     return absl::DataLossError(str_cat(
         "log file is corrupt at byte ", log.valid_bytes,
         "; move the data folder away, so that this box is repaired from the "
@@ -140,8 +140,8 @@
   if (!bytes.ok()) return bytes.status();
   auto log = parse_log(*bytes);
   if (!log.ok()) return log.status();
-  const absl::Status sound = detail::check_header(log->header, box);
-  if (!sound.ok()) return sound;
+  const absl::Status header_status = detail::check_header(log->header, box);
+  if (!header_status.ok()) return header_status;
   std::unique_ptr<log_store> store(
       new log_store(folder, std::move(log->header), std::move(log->state)));
   const absl::Status opened = store->reopen(log->valid_bytes);
--- a/consensus/power-loss-test.cc
+++ b/consensus/power-loss-test.cc
@@ -22,11 +22,11 @@
 namespace {
 
 constexpr unsigned busy_steps = 20'000;
-constexpr unsigned calm_steps = 6'000;
-constexpr size_t messages_kept = 400;
+constexpr unsigned recovery_steps = 6'000;
+constexpr size_t max_messages = 400;
 
 /// What happened in a run.
-struct outcome {
+struct run_outcome {
   std::string violation;
   /// Boxes that had synced the last acknowledged entry.
   size_t holders = 0;
@@ -34,65 +34,66 @@
   bool from_snapshot = false;
 };
 
-class power_run final : public soak_observer {
+class power_loss_run final : public soak_observer {
  public:
-  explicit power_run(const soak_options& options)
+  explicit power_loss_run(const soak_options& options)
       : options_(options), random_(options.seed * 104'729 + 3) {
     std::vector<std::string> names;
     for (unsigned i = 0; i < options_.replicas; ++i) {
       names.push_back(str_cat("b", i));
     }
     for (const std::string& it : names) {
-      nodes_.push_back(
+      boxes_.push_back(
           std::make_unique<soak_box>(it, names, options_, random_, *this));
     }
-    for (auto& it : nodes_) it->start(true);
+    for (auto& it : boxes_) it->start(true);
     // Boxes with slow disks lag, so that at times just a majority holds what is
     // acknowledged.
-    slow_ = random_.below(tolerated() + 1);
-    wanted_ = 5 + random_.below(60);
+    slow_ = random_.below(tolerated_losses() + 1);
+    target_acknowledged_ = 5 + random_.below(60);
   }
 
-  outcome run() {
+  run_outcome run() {
     bool just_acknowledged = false;
     for (unsigned i = 0; i < busy_steps; ++i) {
       const size_t before = acknowledged_.size();
       busy_step();
       note_acknowledged();
       just_acknowledged = acknowledged_.size() > before;
-      if (just_acknowledged && acknowledged_.size() >= wanted_) break;
+      if (just_acknowledged && acknowledged_.size() >= target_acknowledged_)
+        break;
     }
     if (!just_acknowledged) fail("too little was acknowledged");
-    if (good()) strike();
-    if (good()) settle();
+    if (no_violation()) lose_power_everywhere();
+    if (no_violation()) settle();
     return std::move(outcome_);
   }
 
   void sent(const proto::raft_message& m) override {
-    if (network_.size() < messages_kept) network_.push_back(m);
+    if (network_.size() < max_messages) network_.push_back(m);
   }
   void applied(const std::string& /*box*/,
                const proto::log_entry& entry) override {
-    const bool counts = !struck_ && entry.kind() == proto::entry_command;
+    const bool counts = !power_lost_ && entry.kind() == proto::entry_command;
     if (counts && entry.index() > last_.index()) last_ = entry;
   }
   void installed(const std::string& /*box*/, uint64_t /*index*/,
                  const std::vector<std::string>& /*state*/) override {}
 
  private:
-  bool good() const { return outcome_.violation.empty(); }
+  bool no_violation() const { return outcome_.violation.empty(); }
   void fail(const std::string& text) {
-    if (good()) outcome_.violation = text;
+    if (no_violation()) outcome_.violation = text;
   }
-  size_t tolerated() const { return (nodes_.size() - 1) / 2; }
-  soak_box& any() { return *nodes_[random_.below(nodes_.size())]; }
+  size_t tolerated_losses() const { return (boxes_.size() - 1) / 2; }
+  soak_box& random_box() { return *boxes_[random_.below(boxes_.size())]; }
 
   soak_box* leader() {
     soak_box* best = nullptr;
-    for (auto& it : nodes_) {
-      const raft& r = it->it().state();
+    for (auto& it : boxes_) {
+      const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
-      if (best == nullptr || r.term() > best->it().state().term()) {
+      if (best == nullptr || r.term() > best->instance().state().term()) {
         best = it.get();
       }
     }
@@ -102,15 +103,15 @@
   void busy_step() {
     const uint64_t dice = random_.below(100);
     if (dice < 45) return deliver();
-    if (dice < 60) return any().it().tick();
+    if (dice < 60) return random_box().instance().tick();
     if (dice < 92) return run_some_disk();
     propose();
   }
 
   void run_some_disk() {
-    const size_t i = random_.below(nodes_.size());
+    const size_t i = random_.below(boxes_.size());
     const bool waits = i < slow_ && random_.below(12) != 0;
-    if (!waits) nodes_[i]->run_disk();
+    if (!waits) boxes_[i]->run_disk();
   }
 
   void deliver() {
@@ -122,14 +123,15 @@
   }
 
   void hand_over(const proto::raft_message& m) {
-    for (auto& it : nodes_) {
-      if (it->box() == m.to()) it->it().receive(m);
+    for (auto& it : boxes_) {
+      if (it->box() == m.to()) it->instance().receive(m);
     }
   }
 
   bool propose() {
     soak_box* it = leader();
-    return it != nullptr && it->it().propose(str_cat("c", ++proposals_)).ok();
+    return it != nullptr &&
+           it->instance().propose(str_cat("c", ++proposals_)).ok();
   }
 
   /// A leader answers its callers once it has applied their commands.
@@ -141,15 +143,15 @@
     }
   }
 
-  void strike() {
-    struck_ = true;
+  void lose_power_everywhere() {
+    power_lost_ = true;
     std::vector<soak_box*> holders;
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       if (it->holds_synced(last_)) holders.push_back(it.get());
     }
     outcome_.holders = holders.size();
     const soak_box* led = leader();
-    for (size_t i = 0; i < tolerated() && !holders.empty(); ++i) {
+    for (size_t i = 0; i < tolerated_losses() && !holders.empty(); ++i) {
       const size_t chosen = random_.below(holders.size());
       soak_box* it = holders[chosen];
       holders.erase(holders.begin() + static_cast<ptrdiff_t>(chosen));
@@ -157,16 +159,16 @@
       it->lose_power();
       it->wipe();
     }
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       outcome_.from_snapshot = outcome_.from_snapshot || it->snapshots() > 0;
       if (it->up()) it->lose_power();
     }
     // Late messages may come after the start, or not.
     if (random_.below(2) == 0) network_.clear();
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       it->start(false);
       const bool sound = options_.fault == injected_fault::none;
-      if (sound && it->applied_index() < it->floor()) {
+      if (sound && it->applied_index() < it->highest_applied()) {
         fail(str_cat(it->box(), " starts below its floor"));
       }
     }
@@ -174,8 +176,8 @@
 
   /// Nobody may lead without the entry that was acknowledged last.
   void check_leaders() {
-    for (auto& it : nodes_) {
-      const raft& r = it->it().state();
+    for (auto& it : boxes_) {
+      const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
       const raft_log& log = r.log();
       const uint64_t index = last_.index();
@@ -188,39 +190,40 @@
   /// No more faults: the boxes must agree on one more command.
   void settle() {
     bool asked = false;
-    for (unsigned i = 0; i < calm_steps; ++i) {
-      for (auto& it : nodes_) it->run_disk();
+    for (unsigned i = 0; i < recovery_steps; ++i) {
+      for (auto& it : boxes_) it->run_disk();
       if (i % 12 == 0) {
-        for (auto& it : nodes_) it->it().tick();
+        for (auto& it : boxes_) it->instance().tick();
       }
       for (const auto& m : std::exchange(network_, {})) hand_over(m);
       // Beyond that, a run with a fault built in has no meaning any more.
       check_leaders();
-      if (!good()) return;
+      if (!no_violation()) return;
       const bool again = i % 600 == 599;
       if (!asked || again) asked = propose();
-      if (i % 100 == 99 && whole()) return check_end();
+      if (i % 100 == 99 && has_recovered()) return check_end();
     }
     fail(leader() == nullptr ? "no leader came up"
                              : "the boxes do not agree once all is well");
   }
 
   /// All boxes hold the last command, and are voters with what they have now.
-  bool whole() {
+  bool has_recovered() {
     const soak_box* it = leader();
     if (it == nullptr) return false;
     const auto& state = it->state();
     const bool held =
         !state.empty() && state.back() == str_cat("c", proposals_);
     if (!held) return false;
-    return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& node) {
-      return node->state() == state && is_voter(it->it().state().members(),
-                                                node->box(), node->identity());
+    return std::all_of(boxes_.begin(), boxes_.end(), [&](const auto& member) {
+      return member->state() == state &&
+             is_voter(it->instance().state().members(), member->box(),
+                      member->identity());
     });
   }
 
   void check_end() {
-    const auto& state = nodes_[0]->state();
+    const auto& state = boxes_[0]->state();
     for (size_t i = 0; i < acknowledged_.size(); ++i) {
       const bool there = i < state.size() && state[i] == acknowledged_[i];
       if (!there) return fail(str_cat("lost ", acknowledged_[i]));
@@ -229,27 +232,27 @@
 
   soak_options options_;
   seeded_random random_;
-  std::vector<std::unique_ptr<soak_box>> nodes_;
+  std::vector<std::unique_ptr<soak_box>> boxes_;
   std::vector<proto::raft_message> network_;
   std::vector<std::string> acknowledged_;
   // The last command that was applied before the strike.
   proto::log_entry last_;
-  bool struck_ = false;
+  bool power_lost_ = false;
   size_t slow_ = 0;
-  size_t wanted_ = 0;
+  size_t target_acknowledged_ = 0;
   uint64_t proposals_ = 0;
-  outcome outcome_;
+  run_outcome outcome_;
 };
 
-outcome run_of(uint64_t seed, unsigned replicas, injected_fault fault) {
+run_outcome run_of(uint64_t seed, unsigned replicas, injected_fault fault) {
   soak_options options;
   options.seed = seed;
   options.replicas = replicas;
   options.fault = fault;
   try {
-    return power_run(options).run();
+    return power_loss_run(options).run();
   } catch (const std::exception& error) {
-    outcome it;
+    run_outcome it;
     it.violation = str_cat("the code threw: ", error.what());
     return it;
   }
@@ -267,22 +270,24 @@
 
 TEST(power_loss, what_was_acknowledged_outlives_power_and_the_holders_disks) {
   for (const row& it : rows) {
-    unsigned just_a_majority = 0;
+    unsigned bare_majority = 0;
     unsigned leaders_emptied = 0;
     unsigned from_snapshot = 0;
     for (uint64_t seed = 1; seed <= it.seeds; ++seed) {
-      const outcome was = run_of(seed, it.replicas, injected_fault::none);
-      CHECK_TEXT(was.violation.empty(), str_cat(it.replicas, " replicas, seed ",
-                                                seed, ": ", was.violation)
-                                            .c_str());
+      const run_outcome result =
+          run_of(seed, it.replicas, injected_fault::none);
+      CHECK_TEXT(
+          result.violation.empty(),
+          str_cat(it.replicas, " replicas, seed ", seed, ": ", result.violation)
+              .c_str());
       const size_t majority = it.replicas / 2 + 1;
-      CHECK_TRUE(was.holders >= majority);
-      just_a_majority += was.holders == majority ? 1 : 0;
-      leaders_emptied += was.leader_emptied ? 1 : 0;
-      from_snapshot += was.from_snapshot ? 1 : 0;
+      CHECK_TRUE(result.holders >= majority);
+      bare_majority += result.holders == majority ? 1 : 0;
+      leaders_emptied += result.leader_emptied ? 1 : 0;
+      from_snapshot += result.from_snapshot ? 1 : 0;
     }
     // The hard cases were among them.
-    CHECK_TRUE(just_a_majority >= it.seeds / 10);
+    CHECK_TRUE(bare_majority >= it.seeds / 10);
     CHECK_TRUE(leaders_emptied >= it.seeds / 10);
     CHECK_TRUE(from_snapshot >= it.seeds / 10);
   }
@@ -294,8 +299,8 @@
                                        injected_fault::empty_replica_votes}) {
       unsigned caught = 0;
       for (uint64_t seed = 1; seed <= it.seeds && caught == 0; ++seed) {
-        const outcome was = run_of(seed, it.replicas, fault);
-        if (was.violation.starts_with("lost ")) ++caught;
+        const run_outcome result = run_of(seed, it.replicas, fault);
+        if (result.violation.starts_with("lost ")) ++caught;
       }
       CHECK_TRUE(caught > 0);
     }
--- a/consensus/raft-install.cc
+++ b/consensus/raft-install.cc
@@ -29,7 +29,7 @@
 
 void raft::send_part(const std::string& box, const snapshot_transfer& transfer,
                      std::string data) {
-  proto::raft_message m = make(proto::raft_install_part, box);
+  proto::raft_message m = make_message(proto::raft_install_part, box);
   const proto::log_snapshot& whole = *transfer.snapshot();
   m.mutable_snapshot()->set_index(whole.index());
   m.mutable_snapshot()->set_term(whole.term());
@@ -38,40 +38,41 @@
   m.set_offset(transfer.sent());
   m.set_round(round_);
   m.set_total(whole.data().size());
-  ready_.push_back(std::move(m));
+  outgoing_messages_.push_back(std::move(m));
 }
 
 /// A part of a leader's snapshot; the last one installs it.
 void raft::on_install_part(const proto::raft_message& m) {
   if (role_ != raft_role::follower) become_follower(term_, m.from());
   leader_ = m.from();
-  quiet_ticks_ = 0;
+  elapsed_ticks_ = 0;
   const proto::log_snapshot& part = m.snapshot();
   const bool held =
       part.index() <= commit_ || (log_.has_term(part.index()) &&
                                   log_.term_at(part.index()) == part.term());
   if (held) return on_install(m);
-  const bool same = incoming_ && incoming_term_ == m.term() &&
-                    incoming_->index() == part.index() &&
-                    incoming_->term() == part.term();
+  const bool same = incoming_snapshot_ && incoming_term_ == m.term() &&
+                    incoming_snapshot_->index() == part.index() &&
+                    incoming_snapshot_->term() == part.term();
   if (!same) {
-    incoming_ = std::make_unique<proto::log_snapshot>(part);
-    incoming_->clear_data();
+    incoming_snapshot_ = std::make_unique<proto::log_snapshot>(part);
+    incoming_snapshot_->clear_data();
     incoming_term_ = m.term();
   }
-  std::string& data = *incoming_->mutable_data();
+  std::string& data = *incoming_snapshot_->mutable_data();
   if (m.offset() == data.size()) data += part.data();
   if (data.size() < m.total()) {
-    proto::raft_message reply = make(proto::raft_install_reply, m.from());
+    proto::raft_message reply =
+        make_message(proto::raft_install_reply, m.from());
     reply.set_match(part.index());
     reply.set_offset(data.size());
     reply.set_round(m.round());
-    ready_.push_back(std::move(reply));
+    outgoing_messages_.push_back(std::move(reply));
     return;
   }
   proto::raft_message whole = m;
-  *whole.mutable_snapshot() = std::move(*incoming_);
-  incoming_.reset();
+  *whole.mutable_snapshot() = std::move(*incoming_snapshot_);
+  incoming_snapshot_.reset();
   on_install(whole);
 }
 
@@ -84,7 +85,7 @@
   it.round = std::max(it.round, std::min(m.round(), round_));
   const auto& snapshot = it.transfer.snapshot();
   if (!snapshot || snapshot->index() != m.match()) return;
-  it.transfer.held(m.offset());
+  it.transfer.acknowledge(m.offset());
   send_install(m.from(), it, false);
 }
 
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -14,7 +14,7 @@
 namespace {
 
 /// A folder in memory whose appends fail while it is full.
-class small_disk final : public disk {
+class limited_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override {
     const auto it = files.find(name);
@@ -39,7 +39,7 @@
  private:
   class file final : public append_file {
    public:
-    file(small_disk& owner, std::string name)
+    file(limited_disk& owner, std::string name)
         : owner_(owner), name_(std::move(name)) {}
     absl::Status append(std::string_view bytes) override {
       if (owner_.full) {
@@ -53,13 +53,13 @@
     absl::Status sync() override { return absl::OkStatus(); }
 
    private:
-    small_disk& owner_;
+    limited_disk& owner_;
     std::string name_;
   };
 };
 
 /// Runs work at once.
-class instant_queue final : public serial_executor {
+class manual_executor final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
            std::function<void(absl::Status)> done) override {
@@ -76,7 +76,7 @@
   std::deque<std::function<void()>> waiting;
 };
 
-class counting_host final : public replica_callbacks {
+class counting_callbacks final : public replica_callbacks {
  public:
   void send(const proto::raft_message& m) override { sent.push_back(m); }
   void install(const proto::log_snapshot&) override {}
@@ -109,23 +109,23 @@
 }
 
 /// A box of `n` voters: itself, and others that answer while `answers`.
-struct box_run {
-  box_run(unsigned n, unsigned wanted, unsigned learners = 0) : random(7) {
+struct leader_run {
+  leader_run(unsigned n, unsigned target, unsigned learners = 0) : random(7) {
     raft_settings settings;
     settings.self = box_id("b0");
     settings.identity = "founder";
-    settings.target_voters = wanted;
+    settings.target_voters = target;
     settings.slow_write_ticks = 4;
     auto store = log_store::create(folder, settings.self, "founder",
                                    members_of(n, learners));
-    it = std::make_unique<replica>(settings, random, std::move(*store), queue,
-                                   host);
+    it = std::make_unique<replica>(settings, random, std::move(*store),
+                                   executor, callbacks);
   }
   void tick(const std::function<bool(const std::string&)>& answers) {
     it->tick();
     for (int i = 0; i < 6; ++i) {
-      queue.drain();
-      const auto sent = std::exchange(host.sent, {});
+      executor.drain();
+      const auto sent = std::exchange(callbacks.sent, {});
       for (const proto::raft_message& m : sent) {
         if (answers(m.to())) answer(m);
       }
@@ -153,9 +153,9 @@
   }
 
   seeded_random random;
-  small_disk folder;
-  instant_queue queue;
-  counting_host host;
+  limited_disk folder;
+  manual_executor executor;
+  counting_callbacks callbacks;
   std::unique_ptr<replica> it;
 };
 
@@ -166,18 +166,18 @@
 TEST(raft_members, silent_voter_leaves_only_where_there_is_a_surplus) {
   struct row {
     unsigned voters;
-    unsigned wanted;
-    int left;
+    unsigned target;
+    int remaining;
   };
   const row rows[] = {{4, 3, 3}, {3, 3, 3}, {4, 0, 4}, {5, 3, 4}};
   for (const row& it : rows) {
-    box_run run(it.voters, it.wanted);
+    leader_run run(it.voters, it.target);
     const auto all = [](const std::string&) { return true; };
-    const auto but_b1 = [](const std::string& box) { return box != "b1"; };
+    const auto all_but_b1 = [](const std::string& box) { return box != "b1"; };
     for (int i = 0; i < 40; ++i) run.tick(all);
     LONGS_EQUAL(it.voters, run.it->state().members().voters_size());
-    for (int i = 0; i < 60; ++i) run.tick(but_b1);
-    LONGS_EQUAL(it.left, run.it->state().members().voters_size());
+    for (int i = 0; i < 60; ++i) run.tick(all_but_b1);
+    LONGS_EQUAL(it.remaining, run.it->state().members().voters_size());
   }
 }
 
@@ -186,32 +186,32 @@
   struct row {
     unsigned voters;
     unsigned learners;
-    unsigned wanted;
-    int left;
+    unsigned target;
+    int remaining;
   };
   const row rows[] = {{3, 22, 5, 5}, {3, 1, 5, 4}, {5, 4, 5, 5}, {3, 2, 0, 5}};
   for (const row& it : rows) {
-    box_run run(it.voters, it.wanted, it.learners);
+    leader_run run(it.voters, it.target, it.learners);
     for (int i = 0; i < 200; ++i) {
       run.tick([](const std::string&) { return true; });
     }
-    LONGS_EQUAL(it.left, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.remaining, run.it->state().members().voters_size());
   }
 }
 
 TEST(raft_members, learner_takes_the_place_of_a_silent_voter) {
-  box_run run(3, 3, 2);
+  leader_run run(3, 3, 2);
   for (int i = 0; i < 40; ++i)
     run.tick([](const std::string&) { return true; });
-  const auto but_b1 = [](const std::string& box) { return box != "b1"; };
-  for (int i = 0; i < 80; ++i) run.tick(but_b1);
+  const auto all_but_b1 = [](const std::string& box) { return box != "b1"; };
+  for (int i = 0; i < 80; ++i) run.tick(all_but_b1);
   const proto::membership& members = run.it->state().members();
   LONGS_EQUAL(3, members.voters_size());
   CHECK_TRUE(find_voter(members, "b1") == nullptr);
 }
 
 TEST(raft_members, voters_are_spread_over_the_data_centres) {
-  box_run run(3, 5, 6);
+  leader_run run(3, 5, 6);
   // b3 to b5 stand with the founders, b6 to b8 elsewhere.
   const char* places[] = {"x", "y", "z", "x", "y", "z", "u", "v", "v"};
   for (unsigned i = 0; i < 9; ++i) {
@@ -229,7 +229,7 @@
 }
 
 TEST(raft_members, entries_went_to_each_learner_by_themselves) {
-  box_run run(3, 3, 2);
+  leader_run run(3, 3, 2);
   const auto all = [](const std::string&) { return true; };
   for (int i = 0; i < 40; ++i) run.tick(all);
   std::map<std::string, int> sent;
@@ -246,36 +246,36 @@
 }
 
 TEST(raft_members, full_disk_is_waited_out) {
-  box_run run(1, 0);
+  leader_run run(1, 0);
   const auto none = [](const std::string&) { return false; };
   for (int i = 0; i < 40; ++i) run.tick(none);
   CHECK_TRUE(run.it->propose("a").ok());
   for (int i = 0; i < 3; ++i) run.tick(none);
-  LONGS_EQUAL(1, run.host.applied);
+  LONGS_EQUAL(1, run.callbacks.applied);
   run.folder.full = true;
   CHECK_TRUE(run.it->propose("b").ok());
   for (int i = 0; i < 5; ++i) run.tick(none);
-  LONGS_EQUAL(1, run.host.applied);
-  CHECK_TRUE(run.host.full > 0);
+  LONGS_EQUAL(1, run.callbacks.applied);
+  CHECK_TRUE(run.callbacks.full > 0);
   run.folder.full = false;
   for (int i = 0; i < 5; ++i) run.tick(none);
-  LONGS_EQUAL(2, run.host.applied);
-  LONGS_EQUAL(0, run.host.failed);
+  LONGS_EQUAL(2, run.callbacks.applied);
+  LONGS_EQUAL(0, run.callbacks.failed);
   const auto parsed = parse_log(run.folder.files["log"]);
   CHECK_TRUE(parsed.ok());
 }
 
 TEST(raft_members, leader_whose_disk_hangs_hands_over) {
-  box_run run(3, 3);
+  leader_run run(3, 3);
   const auto all = [](const std::string&) { return true; };
   for (int i = 0; i < 40; ++i) run.tick(all);
   CHECK_TRUE(run.it->state().role() == raft_role::leader);
   CHECK_TRUE(run.it->propose("a").ok());
   for (unsigned i = 0; i < 6; ++i) run.it->tick();
   CHECK_TRUE(run.it->state().role() != raft_role::leader);
-  bool told = false;
-  for (const proto::raft_message& it : run.host.sent) {
-    told = told || it.kind() == proto::raft_timeout_now;
+  bool transferred = false;
+  for (const proto::raft_message& it : run.callbacks.sent) {
+    transferred = transferred || it.kind() == proto::raft_timeout_now;
   }
-  CHECK_TRUE(told);
+  CHECK_TRUE(transferred);
 }
--- a/consensus/raft-members.cc
+++ b/consensus/raft-members.cc
@@ -37,12 +37,12 @@
 /// log.
 void raft::review_membership() {
   if (!membership_settled()) return;
-  if (admit_stranger()) return;
+  if (admit_unknown_replica()) return;
   if (promote_learner()) return;
-  remove_surplus();
+  remove_surplus_voter();
 }
 
-bool raft::remove_surplus() {
+bool raft::remove_surplus_voter() {
   const auto n = static_cast<unsigned>(members().voters_size());
   if (settings_.target_voters == 0 || n <= settings_.target_voters) {
     return false;
@@ -56,8 +56,8 @@
   return false;
 }
 
-bool raft::admit_stranger() {
-  for (const auto& [box, identity] : strangers_) {
+bool raft::admit_unknown_replica() {
+  for (const auto& [box, identity] : unknown_replicas_) {
     if (is_member(members(), box, identity)) continue;
     proto::membership next = without_box(members(), box);
     const bool was_voter = find_voter(members(), box) != nullptr;
@@ -69,12 +69,12 @@
     }
     return propose_membership(next).ok();
   }
-  strangers_.clear();
+  unknown_replicas_.clear();
   return false;
 }
 
 /// True while fewer voters answer than there should be.
-bool raft::wants_voter() const {
+bool raft::needs_voter() const {
   if (settings_.target_voters == 0) return true;
   const auto& voters = members().voters();
   const auto n = std::count_if(voters.begin(), voters.end(), [&](auto& it) {
@@ -87,32 +87,33 @@
 }
 
 /// How many voters stand in the box's data centre.
-unsigned raft::voters_at(const std::string& box) const {
-  const auto place = places_.find(box);
-  if (place == places_.end()) return 0;
+unsigned raft::voters_in_data_centre_of(const std::string& box) const {
+  const auto place = data_centres_.find(box);
+  if (place == data_centres_.end()) return 0;
   const auto& voters = members().voters();
   return static_cast<unsigned>(
       std::count_if(voters.begin(), voters.end(), [&](auto& it) {
-        const auto found = places_.find(it.box());
-        return found != places_.end() && found->second == place->second;
+        const auto found = data_centres_.find(it.box());
+        return found != data_centres_.end() && found->second == place->second;
       }));
 }
 
 bool raft::is_caught_up(const follower_progress& it) const {
   return it.silent_ticks <= settings_.heartbeat_ticks &&
-         it.match() >= std::min(commit_, told_commit_);
+         it.match() >= std::min(commit_, heartbeat_commit_);
 }
 
 /// Of the learners that hold the log one in the data centre with the fewest
 /// voters.
 bool raft::promote_learner() {
-  if (!wants_voter()) return false;
+  if (!needs_voter()) return false;
   const proto::replica* best = nullptr;
   for (const proto::replica& learner : members().learners()) {
     const auto it = progress_.find(learner.box());
     if (it == progress_.end() || !is_caught_up(it->second)) continue;
     const bool better =
-        best == nullptr || voters_at(learner.box()) < voters_at(best->box());
+        best == nullptr || voters_in_data_centre_of(learner.box()) <
+                               voters_in_data_centre_of(best->box());
     if (better) best = &learner;
   }
   if (best == nullptr) return false;
--- a/consensus/raft-replication.cc
+++ b/consensus/raft-replication.cc
@@ -12,7 +12,7 @@
   if (role_ != raft_role::leader) {
     return absl::UnavailableError("this replica does not lead");
   }
-  append_own(proto::entry_command, std::move(payload));
+  append_to_log(proto::entry_command, std::move(payload));
   return log_index(log_.last_index());
 }
 
@@ -23,24 +23,24 @@
   if (!membership_settled()) {
     return absl::FailedPreconditionError("a membership change is under way");
   }
-  append_own(proto::entry_membership, members.SerializeAsString());
+  append_to_log(proto::entry_membership, members.SerializeAsString());
   refresh_progress();
   broadcast(true);
   return absl::OkStatus();
 }
 
-void raft::append_own(proto::entry_kind kind, std::string payload) {
+void raft::append_to_log(proto::entry_kind kind, std::string payload) {
   proto::log_entry entry;
   entry.set_index(log_.last_index() + 1);
   entry.set_term(term_);
   entry.set_kind(kind);
   entry.set_payload(std::move(payload));
-  proposed_.back() += entry.ByteSizeLong();
-  note_membership(entry);
+  proposed_bytes_.back() += entry.ByteSizeLong();
+  track_membership(entry);
   log_.append(std::move(entry));
 }
 
-void raft::note_membership(const proto::log_entry& entry) {
+void raft::track_membership(const proto::log_entry& entry) {
   if (entry.kind() != proto::entry_membership) return;
   memberships_[entry.index()].ParseFromString(entry.payload());
 }
@@ -50,42 +50,42 @@
   memberships_.erase(memberships_.lower_bound(index), memberships_.end());
   unstable_from_ = std::min(unstable_from_, index);
   persisted_ = std::min(persisted_, index - 1);
-  in_flight_last_ = std::min(in_flight_last_, index - 1);
+  in_flight_last_index_ = std::min(in_flight_last_index_, index - 1);
 }
 
 void raft::on_append(const proto::raft_message& m) {
   if (role_ != raft_role::follower) become_follower(term_, m.from());
   leader_ = m.from();
-  quiet_ticks_ = 0;
+  elapsed_ticks_ = 0;
   const uint64_t previous = m.log_index();
-  if (previous > log_.last_index()) return refuse_append(m);
+  if (previous > log_.last_index()) return reject_append(m);
   const bool covered = previous < log_.snapshot_index();
   if (!covered && log_.term_at(previous) != m.log_term()) {
-    return refuse_append(m);
+    return reject_append(m);
   }
-  incoming_.reset();
+  incoming_snapshot_.reset();
   add_entries(m);
   const uint64_t n = static_cast<uint64_t>(m.entries_size());
   const uint64_t match = std::max(previous + n, log_.snapshot_index());
   commit_ = std::max(commit_, std::min(m.commit(), match));
-  proto::raft_message reply = make(proto::raft_append_reply, m.from());
+  proto::raft_message reply = make_message(proto::raft_append_reply, m.from());
   reply.set_granted(true);
   reply.set_match(match);
   reply.set_round(m.round());
-  waiting_.push_back(std::move(reply));
+  unsynced_messages_.push_back(std::move(reply));
 }
 
-void raft::refuse_append(const proto::raft_message& m) {
+void raft::reject_append(const proto::raft_message& m) {
   uint64_t hint = std::min(m.log_index() - 1, log_.last_index());
   if (m.log_index() <= log_.last_index()) {
     const uint64_t wrong = log_.term_at(m.log_index());
     while (hint > commit_ && log_.term_at(hint) == wrong) --hint;
   }
-  proto::raft_message reply = make(proto::raft_append_reply, m.from());
+  proto::raft_message reply = make_message(proto::raft_append_reply, m.from());
   reply.set_log_index(m.log_index());
   reply.set_match(hint);
   reply.set_round(m.round());
-  waiting_.push_back(std::move(reply));
+  unsynced_messages_.push_back(std::move(reply));
 }
 
 void raft::add_entries(const proto::raft_message& m) {
@@ -95,7 +95,7 @@
       if (log_.term_at(it.index()) == it.term()) continue;
       truncate_from(it.index());
     }
-    note_membership(it);
+    track_membership(it);
     log_.append(it);
   }
 }
@@ -103,7 +103,7 @@
 void raft::on_install(const proto::raft_message& m) {
   if (role_ != raft_role::follower) become_follower(term_, m.from());
   leader_ = m.from();
-  quiet_ticks_ = 0;
+  elapsed_ticks_ = 0;
   const uint64_t index = m.snapshot().index();
   // A log that holds the snapshot's last entry holds all before it, and may
   // hold acknowledged ones after it: it stays.
@@ -115,16 +115,16 @@
     log_.reset(snapshot);
     memberships_.clear();
     memberships_[index] = snapshot->members();
-    commit_ = applied_ = handed_commit_ = saved_commit_ = index;
-    persisted_ = in_flight_last_ = index;
+    commit_ = applied_ = submitted_commit_ = durable_commit_ = index;
+    persisted_ = in_flight_last_index_ = index;
     unstable_from_ = index + 1;
     unsaved_snapshot_ = std::move(snapshot);
   }
-  proto::raft_message reply = make(proto::raft_append_reply, m.from());
+  proto::raft_message reply = make_message(proto::raft_append_reply, m.from());
   reply.set_granted(true);
   reply.set_match(index);
   reply.set_round(m.round());
-  waiting_.push_back(std::move(reply));
+  unsynced_messages_.push_back(std::move(reply));
 }
 
 void raft::on_append_reply(const proto::raft_message& m) {
@@ -135,41 +135,41 @@
   it.silent_ticks = 0;
   it.round = std::max(it.round, std::min(m.round(), round_));
   if (!m.granted()) {
-    if (!it.refused(m.log_index(), m.match())) return;
+    if (!it.rejected(m.log_index(), m.match())) return;
     return send_append(m.from(), it, true);
   }
   it.accepted(m.match());
   const auto& snapshot = it.transfer.snapshot();
   if (snapshot && snapshot->index() <= it.match()) it.transfer = {};
   advance_commit();
-  if (!feeds_slowly(it)) send_append(m.from(), it, false);
+  if (!waits_for_heartbeat(it)) send_append(m.from(), it, false);
 }
 
 void raft::broadcast(bool heartbeat) {
   for (auto& [box, it] : progress_) {
-    if (heartbeat || !feeds_slowly(it)) send_append(box, it, heartbeat);
+    if (heartbeat || !waits_for_heartbeat(it)) send_append(box, it, heartbeat);
   }
 }
 
 /// No commit waits for a learner: one that has caught up gets the log with the
 /// heartbeats, so that what an entry costs the leader goes with the voters.
-bool raft::feeds_slowly(const follower_progress& it) const {
-  return it.learner && it.next() > told_commit_;
+bool raft::waits_for_heartbeat(const follower_progress& it) const {
+  return it.learner && it.next() > heartbeat_commit_;
 }
 
 /// What a follower may be behind with the log as it comes, however slow its
 /// disk, and no less than what keeps a quick one busy.
 size_t raft::window_bytes() const {
-  const size_t lately =
-      std::accumulate(proposed_.begin(), proposed_.end(), size_t{0});
+  const size_t lately = std::accumulate(proposed_bytes_.begin(),
+                                        proposed_bytes_.end(), size_t{0});
   return std::max(settings_.window_bytes, lately);
 }
 
 /// True where more of the log may be on its way to the follower.
-bool raft::has_more_for(const follower_progress& it) const {
+bool raft::can_send_entries(const follower_progress& it) const {
   return !it.probing() && it.next() <= log_.last_index() &&
          it.next() - it.match() <= settings_.window_entries &&
-         it.bytes_out() < window_bytes();
+         it.bytes_in_flight() < window_bytes();
 }
 
 void raft::send_commit() {
@@ -182,9 +182,9 @@
                        bool heartbeat) {
   const uint64_t previous = it.next() - 1;
   if (!log_.has_term(previous)) return send_install(box, it, heartbeat);
-  const bool more = has_more_for(it);
+  const bool more = can_send_entries(it);
   if (!more && !heartbeat) return;
-  proto::raft_message m = make(proto::raft_append, box);
+  proto::raft_message m = make_message(proto::raft_append, box);
   m.set_log_index(previous);
   m.set_log_term(log_.term_at(previous));
   m.set_commit(commit_);
@@ -195,7 +195,7 @@
     }
     it.sent(static_cast<uint64_t>(m.entries_size()), m.ByteSizeLong());
   }
-  ready_.push_back(std::move(m));
+  outgoing_messages_.push_back(std::move(m));
 }
 
 void raft::advance_commit() {
@@ -211,18 +211,18 @@
 
 std::optional<persist_batch> raft::next_batch() {
   const bool entries = unstable_from_ <= log_.last_index();
-  const bool commit = commit_ > handed_commit_;
-  if (!hard_dirty_ && !entries && !commit && !unsaved_snapshot_) {
+  const bool commit = commit_ > submitted_commit_;
+  if (!hard_state_dirty_ && !entries && !commit && !unsaved_snapshot_) {
     return std::nullopt;
   }
   persist_batch batch;
-  if (hard_dirty_ || commit) {
-    handed_commit_ = commit_;
+  if (hard_state_dirty_ || commit) {
+    submitted_commit_ = commit_;
     batch.hard.emplace();
     batch.hard->set_term(term_);
     batch.hard->set_voted_for(voted_for_);
     batch.hard->set_commit(commit_);
-    hard_dirty_ = false;
+    hard_state_dirty_ = false;
   }
   batch.snapshot = std::move(unsaved_snapshot_);
   unsaved_snapshot_ = nullptr;
@@ -231,40 +231,42 @@
     batch.entries.push_back(log_.at(i));
   }
   unstable_from_ = log_.last_index() + 1;
-  in_flight_last_ = log_.last_index();
+  in_flight_last_index_ = log_.last_index();
   in_flight_ = true;
-  in_flight_messages_ = std::move(waiting_);
-  waiting_.clear();
+  in_flight_messages_ = std::move(unsynced_messages_);
+  unsynced_messages_.clear();
   return batch;
 }
 
-raft_actions raft::take() {
+raft_actions raft::take_actions() {
   raft_actions actions;
   if (role_ == raft_role::leader) broadcast(false);
   if (!in_flight_) {
     actions.persist = next_batch();
     if (!actions.persist) {
-      std::move(waiting_.begin(), waiting_.end(), std::back_inserter(ready_));
-      waiting_.clear();
+      std::move(unsynced_messages_.begin(), unsynced_messages_.end(),
+                std::back_inserter(outgoing_messages_));
+      unsynced_messages_.clear();
     }
   }
-  actions.messages = std::move(ready_);
-  ready_.clear();
-  actions.install = std::move(to_install_);
-  to_install_ = nullptr;
-  const uint64_t limit = std::min(saved_commit_, persisted_);
+  actions.messages = std::move(outgoing_messages_);
+  outgoing_messages_.clear();
+  actions.install = std::move(snapshot_to_install_);
+  snapshot_to_install_ = nullptr;
+  const uint64_t limit = std::min(durable_commit_, persisted_);
   while (applied_ < limit) actions.committed.push_back(log_.at(++applied_));
   return actions;
 }
 
 void raft::persisted() {
   in_flight_ = false;
-  persisted_ = std::max(persisted_, in_flight_last_);
-  saved_commit_ = handed_commit_;
-  if (in_flight_snapshot_) to_install_ = std::move(in_flight_snapshot_);
+  persisted_ = std::max(persisted_, in_flight_last_index_);
+  durable_commit_ = submitted_commit_;
+  if (in_flight_snapshot_)
+    snapshot_to_install_ = std::move(in_flight_snapshot_);
   in_flight_snapshot_ = nullptr;
   std::move(in_flight_messages_.begin(), in_flight_messages_.end(),
-            std::back_inserter(ready_));
+            std::back_inserter(outgoing_messages_));
   in_flight_messages_.clear();
   if (role_ == raft_role::leader) advance_commit();
 }
--- a/consensus/raft-test.cc
+++ b/consensus/raft-test.cc
@@ -70,8 +70,8 @@
 namespace {
 
 /// One replica of three, b0, without any input or output.
-struct lone_replica {
-  explicit lone_replica(std::string identity = "founder") {
+struct single_replica {
+  explicit single_replica(std::string identity = "founder") {
     raft_settings settings;
     settings.self = box_id("b0");
     settings.identity = std::move(identity);
@@ -90,7 +90,7 @@
   raft_actions settle() {
     raft_actions all;
     for (int i = 0; i < 5; ++i) {
-      raft_actions more = it->take();
+      raft_actions more = it->take_actions();
       if (more.persist) it->persisted();
       for (auto& m : more.messages) all.messages.push_back(m);
       for (auto& e : more.committed) all.committed.push_back(e);
@@ -123,7 +123,7 @@
   std::unique_ptr<raft> it;
 };
 
-proto::raft_message snapshot_message(lone_replica& box, uint64_t index) {
+proto::raft_message snapshot_message(single_replica& box, uint64_t index) {
   proto::raft_message m = box.from_leader(proto::raft_install, 0);
   m.mutable_snapshot()->set_index(index);
   m.mutable_snapshot()->set_term(1);
@@ -135,9 +135,9 @@
 
 // Found by seed 233 of the first seeded runs: "b0 applied another entry 61".
 TEST(raft, late_snapshot_keeps_acknowledged_entries) {
-  lone_replica box;
+  single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
-  for (uint64_t i = 1; i <= 5; ++i) lone_replica::add_entry(m, i);
+  for (uint64_t i = 1; i <= 5; ++i) single_replica::add_entry(m, i);
   box.it->step(m);
   box.settle();
   box.it->step(snapshot_message(box, 3));
@@ -148,36 +148,36 @@
 
 // Found by seed 5: a box started below the floor that it had in force.
 TEST(raft, snapshot_is_not_in_force_before_it_lasts) {
-  lone_replica box;
+  single_replica box;
   box.it->step(snapshot_message(box, 3));
-  const raft_actions before = box.it->take();
+  const raft_actions before = box.it->take_actions();
   CHECK_TRUE(before.persist.has_value());
   CHECK_TRUE(before.install == nullptr);
   box.it->persisted();
-  CHECK_TRUE(box.it->take().install != nullptr);
+  CHECK_TRUE(box.it->take_actions().install != nullptr);
 }
 
 // The commit index lasts before its entries are in force, so that a replica
 // that restarts alone does not fall back.
 TEST(raft, entry_is_not_in_force_before_its_commit_lasts) {
-  lone_replica box;
+  single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
-  lone_replica::add_entry(m, 1);
+  single_replica::add_entry(m, 1);
   m.set_commit(1);
   box.it->step(m);
-  const raft_actions first = box.it->take();
+  const raft_actions first = box.it->take_actions();
   CHECK_TRUE(first.committed.empty());
   CHECK_EQUAL(1, first.persist->hard->commit());
   box.it->persisted();
-  CHECK_EQUAL(1, box.it->take().committed.size());
+  CHECK_EQUAL(1, box.it->take_actions().committed.size());
 }
 
 // Found by seed 345: a learner by an entry that only it had was never heard of
 // again.
 TEST(raft, learner_without_leader_announces_itself) {
-  lone_replica box("other-folder");
+  single_replica box("other-folder");
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
-  lone_replica::add_entry(m, 1);
+  single_replica::add_entry(m, 1);
   proto::membership members = box.founding;
   members.mutable_voters()->RemoveLast();
   proto::replica& learner = *members.add_learners();
@@ -188,7 +188,7 @@
   box.it->step(m);
   box.settle();
   for (int i = 0; i < 25; ++i) box.it->tick();
-  CHECK_TRUE(box.it->take().messages.size() >= 2);
+  CHECK_TRUE(box.it->take_actions().messages.size() >= 2);
 }
 
 namespace {
@@ -217,10 +217,10 @@
        false},
   };
   for (const vote_row& row : rows) {
-    lone_replica box;
+    single_replica box;
     proto::raft_message m = box.from_leader(proto::raft_append, 0);
-    lone_replica::add_entry(m, 1);
-    lone_replica::add_entry(m, 2);
+    single_replica::add_entry(m, 1);
+    single_replica::add_entry(m, 2);
     box.it->step(m);
     box.settle();
     for (int i = 0; i < 30; ++i) box.it->tick();
@@ -241,7 +241,7 @@
 // "It neither votes nor counts until caught up."
 TEST(raft, votes_of_an_empty_replica_do_not_count) {
   for (const char* identity : {"founder", "new-folder"}) {
-    lone_replica box;
+    single_replica box;
     for (int i = 0; i < 30; ++i) box.it->tick();
     box.settle();
     CHECK_TRUE(box.it->role() == raft_role::pre_candidate);
--- a/consensus/raft.cc
+++ b/consensus/raft.cc
@@ -30,19 +30,19 @@
       voted_for_(state.hard.voted_for()) {
   if (state.snapshot) {
     memberships_[state.snapshot->index()] = state.snapshot->members();
-    to_install_ = state.snapshot;
+    snapshot_to_install_ = state.snapshot;
   }
   commit_ = applied_ = log_.snapshot_index();
   for (proto::log_entry& it : state.entries) {
-    note_membership(it);
+    track_membership(it);
     log_.append(std::move(it));
   }
   persisted_ = log_.last_index();
   commit_ = std::clamp(state.hard.commit(), commit_, persisted_);
-  handed_commit_ = saved_commit_ = commit_;
+  submitted_commit_ = durable_commit_ = commit_;
   unstable_from_ = persisted_ + 1;
   if (settings_.delay_first_vote && term_ > 0) {
-    no_vote_ticks_ = settings_.election_ticks;
+    vote_delay_ticks_ = settings_.election_ticks;
   }
   reset_timeout();
 }
@@ -52,19 +52,19 @@
   return memberships_.rbegin()->second;
 }
 
-bool raft::self_votes() const {
+bool raft::is_self_voter() const {
   return is_voter(members(), settings_.self.str(), settings_.identity);
 }
 
 void raft::reset_timeout() {
-  quiet_ticks_ = 0;
+  elapsed_ticks_ = 0;
   timeout_ticks_ =
       settings_.election_ticks +
       static_cast<unsigned>(random_.below(settings_.election_ticks));
 }
 
-proto::raft_message raft::make(proto::raft_kind kind,
-                               const std::string& to) const {
+proto::raft_message raft::make_message(proto::raft_kind kind,
+                                       const std::string& to) const {
   proto::raft_message m;
   m.set_kind(kind);
   m.set_from(settings_.self.str());
@@ -75,7 +75,7 @@
 }
 
 void raft::assign_data_centre(const box_id& box, const data_centre_id& place) {
-  places_[box.str()] = place;
+  data_centres_[box.str()] = place;
 }
 
 void raft::add_replica_box(const box_id& box) {
@@ -86,34 +86,36 @@
 }
 
 void raft::tick() {
-  if (no_vote_ticks_ > 0) --no_vote_ticks_;
+  if (vote_delay_ticks_ > 0) --vote_delay_ticks_;
   if (role_ == raft_role::leader) return leader_tick();
-  ++quiet_ticks_;
-  if (quiet_ticks_ < timeout_ticks_) return;
-  if (self_votes()) return start_election(true, false);
+  ++elapsed_ticks_;
+  if (elapsed_ticks_ < timeout_ticks_) return;
+  if (is_self_voter()) return start_election(true, false);
   reset_timeout();
-  announce();
+  announce_self();
 }
 
 /// Tells the boxes with data folders that this replica exists, so that the
 /// leader among them takes it in as a learner. Its own log may call it a
 /// learner already by an entry that a later leader never saw.
-void raft::announce() {
+void raft::announce_self() {
   for (const box_id& it : settings_.replica_boxes) {
     if (it == settings_.self) continue;
-    ready_.push_back(make(proto::raft_append_reply, it.str()));
+    outgoing_messages_.push_back(
+        make_message(proto::raft_append_reply, it.str()));
   }
 }
 
 void raft::leader_tick() {
-  proposed_.push_back(0);
-  if (proposed_.size() > settings_.election_ticks / 2) proposed_.pop_front();
+  proposed_bytes_.push_back(0);
+  if (proposed_bytes_.size() > settings_.election_ticks / 2)
+    proposed_bytes_.pop_front();
   for (auto& [box, it] : progress_) {
     ++it.silent_ticks;
     it.transfer.tick();
   }
-  if (++quiet_ticks_ >= settings_.election_ticks) {
-    quiet_ticks_ = 0;
+  if (++elapsed_ticks_ >= settings_.election_ticks) {
+    elapsed_ticks_ = 0;
     const bool quorum = has_majority(members(), [&](const auto& voter) {
       if (voter.box() == settings_.self.str()) return true;
       return progress_[voter.box()].silent_ticks <= settings_.election_ticks;
@@ -121,10 +123,10 @@
     if (!quorum) return become_follower(term_, "");
   }
   review_membership();
-  if (++heartbeat_wait_ < settings_.heartbeat_ticks) return;
-  heartbeat_wait_ = 0;
+  if (++heartbeat_elapsed_ticks_ < settings_.heartbeat_ticks) return;
+  heartbeat_elapsed_ticks_ = 0;
   ++round_;
-  told_commit_ = commit_;
+  heartbeat_commit_ = commit_;
   broadcast(true);
 }
 
@@ -145,13 +147,13 @@
   if (term != term_) {
     term_ = term;
     voted_for_.clear();
-    hard_dirty_ = true;
+    hard_state_dirty_ = true;
   }
   role_ = raft_role::follower;
   leader_ = leader;
   votes_.clear();
   progress_.clear();
-  strangers_.clear();
+  unknown_replicas_.clear();
   reset_timeout();
 }
 
@@ -163,17 +165,18 @@
   if (!pre_vote) {
     ++term_;
     voted_for_ = settings_.self.str();
-    hard_dirty_ = true;
+    hard_state_dirty_ = true;
   }
   const auto kind = pre_vote ? proto::raft_pre_vote : proto::raft_vote;
   for (const proto::replica& voter : members().voters()) {
     if (voter.box() == settings_.self.str()) continue;
-    proto::raft_message m = make(kind, voter.box());
+    proto::raft_message m = make_message(kind, voter.box());
     m.set_term(pre_vote ? term_ + 1 : term_);
     m.set_log_index(log_.last_index());
     m.set_log_term(log_.last_term());
     m.set_granted(transfer);
-    (pre_vote ? ready_ : waiting_).push_back(std::move(m));
+    (pre_vote ? outgoing_messages_ : unsynced_messages_)
+        .push_back(std::move(m));
   }
   if (majority(members()) > 1) return;
   if (pre_vote) return start_election(false, false);
@@ -183,26 +186,26 @@
 void raft::become_leader() {
   role_ = raft_role::leader;
   leader_ = settings_.self.str();
-  quiet_ticks_ = 0;
-  heartbeat_wait_ = 0;
+  elapsed_ticks_ = 0;
+  heartbeat_elapsed_ticks_ = 0;
   round_ = 0;
-  told_commit_ = commit_;
+  heartbeat_commit_ = commit_;
   progress_.clear();
-  strangers_.clear();
-  proposed_.assign(1, 0);
+  unknown_replicas_.clear();
+  proposed_bytes_.assign(1, 0);
   refresh_progress();
-  append_own(proto::entry_noop, "");
+  append_to_log(proto::entry_noop, "");
 }
 
-bool raft::heard_leader() const {
-  if (role_ == raft_role::leader || no_vote_ticks_ > 0) return true;
-  return !leader_.empty() && quiet_ticks_ < settings_.election_ticks;
+bool raft::has_recent_leader() const {
+  if (role_ == raft_role::leader || vote_delay_ticks_ > 0) return true;
+  return !leader_.empty() && elapsed_ticks_ < settings_.election_ticks;
 }
 
 void raft::step(const proto::raft_message& m) {
   const bool member = is_member(members(), m.from(), m.from_identity());
   if (role_ == raft_role::leader && !member) {
-    strangers_[m.from()] = m.from_identity();
+    unknown_replicas_[m.from()] = m.from_identity();
     return;
   }
   const auto kind = m.kind();
@@ -213,7 +216,7 @@
     return on_vote_reply(m);
   }
   if (m.term() > term_) adopt_term(m);
-  if (outdated(m)) return;
+  if (reject_outdated(m)) return;
   switch (kind) {
     case proto::raft_vote_reply:
       return on_vote_reply(m);
@@ -228,7 +231,7 @@
     case proto::raft_append_reply:
       return on_append_reply(m);
     case proto::raft_timeout_now:
-      if (self_votes()) start_election(false, true);
+      if (is_self_voter()) start_election(false, true);
       return;
     default:
       return;
@@ -236,20 +239,21 @@
 }
 
 /// True for what only a leader sends.
-bool raft::is_leaders(const proto::raft_message& m) {
+bool raft::is_from_leader(const proto::raft_message& m) {
   return m.kind() == proto::raft_append || m.kind() == proto::raft_install ||
          m.kind() == proto::raft_install_part;
 }
 
 void raft::adopt_term(const proto::raft_message& m) {
-  become_follower(m.term(), is_leaders(m) ? m.from() : "");
+  become_follower(m.term(), is_from_leader(m) ? m.from() : "");
 }
 
 /// Drops a message of an older term, and tells an old leader of this one.
-bool raft::outdated(const proto::raft_message& m) {
+bool raft::reject_outdated(const proto::raft_message& m) {
   if (m.term() == term_) return false;
-  if (is_leaders(m)) {
-    waiting_.push_back(make(proto::raft_append_reply, m.from()));
+  if (is_from_leader(m)) {
+    unsynced_messages_.push_back(
+        make_message(proto::raft_append_reply, m.from()));
   }
   return true;
 }
@@ -264,27 +268,27 @@
 void raft::on_vote_request(const proto::raft_message& m) {
   const bool pre_vote = m.kind() == proto::raft_pre_vote;
   const bool transfer = m.granted();
-  if (heard_leader() && !transfer && m.term() >= term_) return;
+  if (has_recent_leader() && !transfer && m.term() >= term_) return;
   if (!pre_vote && m.term() > term_) become_follower(m.term(), "");
   const bool granted = may_vote_for(m);
   const auto kind =
       pre_vote ? proto::raft_pre_vote_reply : proto::raft_vote_reply;
-  proto::raft_message reply = make(kind, m.from());
+  proto::raft_message reply = make_message(kind, m.from());
   reply.set_granted(granted);
   if (granted && pre_vote) reply.set_term(m.term());
   if (granted && !pre_vote) {
     voted_for_ = m.from();
-    hard_dirty_ = true;
+    hard_state_dirty_ = true;
     reset_timeout();
   }
-  waiting_.push_back(std::move(reply));
+  unsynced_messages_.push_back(std::move(reply));
 }
 
 void raft::on_vote_reply(const proto::raft_message& m) {
   const bool pre_vote = m.kind() == proto::raft_pre_vote_reply;
-  const auto wanted =
+  const auto target =
       pre_vote ? raft_role::pre_candidate : raft_role::candidate;
-  if (role_ != wanted || !m.granted()) return;
+  if (role_ != target || !m.granted()) return;
   if (m.term() != (pre_vote ? term_ + 1 : term_)) return;
   if (!is_voter(members(), m.from(), m.from_identity())) return;
   votes_.insert(m.from());
@@ -309,7 +313,7 @@
     most = it.match();
   }
   if (best.empty()) return;
-  ready_.push_back(make(proto::raft_timeout_now, best));
+  outgoing_messages_.push_back(make_message(proto::raft_timeout_now, best));
   become_follower(term_, "");
 }
 
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -114,7 +114,7 @@
   /// Where a box stands: voters are spread over the data centres.
   void assign_data_centre(const box_id& box, const data_centre_id& place);
   /// Takes the actions that have come up. At most one batch is out at a time.
-  raft_actions take();
+  raft_actions take_actions();
   /// The last batch taken is on the disk.
   void persisted();
   /// A snapshot of what `take` has handed out for applying so far; `data` is
@@ -153,19 +153,19 @@
   void on_vote_request(const proto::raft_message& m);
   void on_vote_reply(const proto::raft_message& m);
   bool may_vote_for(const proto::raft_message& m) const;
-  bool outdated(const proto::raft_message& m);
-  bool heard_leader() const;
-  static bool is_leaders(const proto::raft_message& m);
+  bool reject_outdated(const proto::raft_message& m);
+  bool has_recent_leader() const;
+  static bool is_from_leader(const proto::raft_message& m);
   void adopt_term(const proto::raft_message& m);
   void leader_tick();
-  void announce();
+  void announce_self();
   void reset_timeout();
-  bool self_votes() const;
+  bool is_self_voter() const;
 
   // Log: raft-replication.cc; members: raft-members.cc.
-  void append_own(proto::entry_kind kind, std::string payload);
+  void append_to_log(proto::entry_kind kind, std::string payload);
   void on_append(const proto::raft_message& m);
-  void refuse_append(const proto::raft_message& m);
+  void reject_append(const proto::raft_message& m);
   void add_entries(const proto::raft_message& m);
   void on_append_reply(const proto::raft_message& m);
   void on_install(const proto::raft_message& m);
@@ -173,21 +173,21 @@
                    bool heartbeat);
   void broadcast(bool heartbeat);
   void send_commit();
-  bool feeds_slowly(const follower_progress& it) const;
-  bool has_more_for(const follower_progress& it) const;
+  bool waits_for_heartbeat(const follower_progress& it) const;
+  bool can_send_entries(const follower_progress& it) const;
   size_t window_bytes() const;
   void advance_commit();
   void truncate_from(uint64_t index);
-  void note_membership(const proto::log_entry& entry);
+  void track_membership(const proto::log_entry& entry);
   void refresh_progress();
   void review_membership();
   bool membership_settled() const;
-  bool admit_stranger();
-  bool wants_voter() const;
-  unsigned voters_at(const std::string& box) const;
+  bool admit_unknown_replica();
+  bool needs_voter() const;
+  unsigned voters_in_data_centre_of(const std::string& box) const;
   bool is_caught_up(const follower_progress& it) const;
   bool promote_learner();
-  bool remove_surplus();
+  bool remove_surplus_voter();
   std::optional<persist_batch> next_batch();
 
   // Snapshots: raft-install.cc.
@@ -199,7 +199,8 @@
   void on_install_reply(const proto::raft_message& m);
 
   const proto::membership& members_at(uint64_t index) const;
-  proto::raft_message make(proto::raft_kind kind, const std::string& to) const;
+  proto::raft_message make_message(proto::raft_kind kind,
+                                   const std::string& to) const;
 
   raft_settings settings_;
   random_source& random_;
@@ -215,39 +216,39 @@
   uint64_t commit_ = 0;
   uint64_t applied_ = 0;
 
-  unsigned quiet_ticks_ = 0;
+  unsigned elapsed_ticks_ = 0;
   unsigned timeout_ticks_ = 0;
-  unsigned heartbeat_wait_ = 0;
+  unsigned heartbeat_elapsed_ticks_ = 0;
   // Ticks until this replica may vote after its start.
-  unsigned no_vote_ticks_ = 0;
+  unsigned vote_delay_ticks_ = 0;
   uint64_t round_ = 0;
   std::set<std::string> votes_;
   std::map<std::string, follower_progress> progress_;
-  std::map<std::string, std::string> strangers_;
-  std::map<std::string, data_centre_id> places_;
+  std::map<std::string, std::string> unknown_replicas_;
+  std::map<std::string, data_centre_id> data_centres_;
   // Bytes of the leader's own entries in each of the last ticks.
-  std::deque<size_t> proposed_;
+  std::deque<size_t> proposed_bytes_;
   // What was committed when the last heartbeat went out.
-  uint64_t told_commit_ = 0;
+  uint64_t heartbeat_commit_ = 0;
 
-  bool hard_dirty_ = false;
+  bool hard_state_dirty_ = false;
   uint64_t unstable_from_ = 1;
   uint64_t persisted_ = 0;
-  uint64_t in_flight_last_ = 0;
+  uint64_t in_flight_last_index_ = 0;
   // Commit index handed to the disk, and the one known to last.
-  uint64_t handed_commit_ = 0;
-  uint64_t saved_commit_ = 0;
+  uint64_t submitted_commit_ = 0;
+  uint64_t durable_commit_ = 0;
   bool in_flight_ = false;
   // A snapshot of the leader is installed only once it is on the disk.
   std::shared_ptr<const proto::log_snapshot> unsaved_snapshot_;
   std::shared_ptr<const proto::log_snapshot> in_flight_snapshot_;
-  std::shared_ptr<const proto::log_snapshot> to_install_;
+  std::shared_ptr<const proto::log_snapshot> snapshot_to_install_;
   // What has come of a leader's snapshot, and in which term.
-  std::unique_ptr<proto::log_snapshot> incoming_;
+  std::unique_ptr<proto::log_snapshot> incoming_snapshot_;
   uint64_t incoming_term_ = 0;
-  std::vector<proto::raft_message> ready_;
+  std::vector<proto::raft_message> outgoing_messages_;
   // Messages that tell of state not yet on the disk.
-  std::vector<proto::raft_message> waiting_;
+  std::vector<proto::raft_message> unsynced_messages_;
   std::vector<proto::raft_message> in_flight_messages_;
 };
 
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -16,12 +16,12 @@
 namespace {
 
 constexpr const char* command = "the command that was refused";
-constexpr int many_ticks = 60;
+constexpr int settle_ticks = 60;
 
 /// A replica whose messages and writes the test holds.
-class held_box final : public replica_callbacks, public serial_executor {
+class manual_box final : public replica_callbacks, public serial_executor {
  public:
-  explicit held_box(int voters) {
+  explicit manual_box(int voters) {
     proto::membership members;
     for (int i = 0; i < voters; ++i) {
       proto::replica& voter = *members.add_voters();
@@ -53,7 +53,8 @@
     const auto writes = std::exchange(writes_, {});
     for (const pending_write& w : writes) w.done(fault.ok() ? w.work() : fault);
   }
-  void hear(proto::raft_kind kind, uint64_t term, uint64_t match = 0) {
+  void receive_from_b(proto::raft_kind kind, uint64_t term,
+                      uint64_t match = 0) {
     proto::raft_message m;
     m.set_kind(kind);
     m.set_from("b");
@@ -68,11 +69,11 @@
   void lead() {
     while (it->state().role() == raft_role::follower) it->tick();
     run_disk();
-    hear(proto::raft_pre_vote_reply, it->state().term() + 1);
+    receive_from_b(proto::raft_pre_vote_reply, it->state().term() + 1);
     run_disk();
-    hear(proto::raft_vote_reply, it->state().term());
+    receive_from_b(proto::raft_vote_reply, it->state().term());
     run_disk();
-    hear(proto::raft_append_reply, it->state().term(), 1);
+    receive_from_b(proto::raft_append_reply, it->state().term(), 1);
     run_disk();
     CHECK_TRUE(it->state().is_ready_leader());
   }
@@ -116,62 +117,62 @@
 TEST(refused_proposal, leaves_nothing_behind) {
   struct {
     const char* name;
-    std::function<void(held_box&)> before;
+    std::function<void(manual_box&)> before;
   } const rows[] = {
-      {"has just started", [](held_box&) {}},
+      {"has just started", [](manual_box&) {}},
       {"asks for votes",
-       [](held_box& box) {
+       [](manual_box& box) {
          while (box.it->state().role() == raft_role::follower) box.it->tick();
        }},
       {"hears no majority",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
-         box.tick(many_ticks);
+         box.tick(settle_ticks);
        }},
       {"another leads",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
-         box.hear(proto::raft_append, box.it->state().term() + 1);
+         box.receive_from_b(proto::raft_append, box.it->state().term() + 1);
        }},
       {"has handed over",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
          box.it->transfer_leadership();
        }},
       {"its disk is full",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
          box.run_disk(absl::ResourceExhaustedError("full"));
        }},
       {"its disk is slow",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
          for (int i = 0; i < 4; ++i) box.it->tick();
        }},
       {"its disk has failed",
-       [](held_box& box) {
+       [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
          box.run_disk(absl::InternalError("broken"));
        }},
   };
   for (const auto& row : rows) {
-    held_box box(3);
+    manual_box box(3);
     row.before(box);
     const uint64_t last = box.it->state().log().last_index();
     const absl::Status status = box.it->propose(command);
     CHECK_TRUE_TEXT(absl::IsUnavailable(status), row.name);
     CHECK_EQUAL_TEXT(last, box.it->state().log().last_index(), row.name);
-    box.tick(many_ticks);
+    box.tick(settle_ticks);
     CHECK_FALSE_TEXT(box.holds(command), row.name);
   }
 }
 
 // What was taken is found where the rows above look for it.
 TEST(refused_proposal, one_that_is_taken_is_found) {
-  held_box box(3);
+  manual_box box(3);
   box.lead();
   CHECK_TRUE(box.it->propose(command).ok());
   box.run_disk();
@@ -182,13 +183,13 @@
 // Nobody else can lead: the full disk's own replica keeps what it took, and
 // never says that it did not.
 TEST(refused_proposal, taken_with_a_full_disk_lasts_once_there_is_room) {
-  held_box box(1);
+  manual_box box(1);
   while (box.it->state().role() == raft_role::follower) box.it->tick();
   box.run_disk();
   CHECK_TRUE(box.it->propose("one before").ok());
   box.run_disk(absl::ResourceExhaustedError("full"));
   CHECK_TRUE(box.it->propose(command).ok());
   CHECK_TRUE(box.applied.find(command) == std::string::npos);
-  box.tick(many_ticks);
+  box.tick(settle_ticks);
   CHECK_TRUE(box.applied.find(command) != std::string::npos);
 }
--- a/consensus/replica.h
+++ b/consensus/replica.h
@@ -53,8 +53,8 @@
 class replica {
  public:
   replica(raft_settings settings, random_source& random,
-          std::unique_ptr<log_store> store, serial_executor& queue,
-          replica_callbacks& host, compaction_settings compaction = {});
+          std::unique_ptr<log_store> store, serial_executor& executor,
+          replica_callbacks& callbacks, compaction_settings compaction = {});
 
   /// One tick of the replica's clock.
   void tick();
@@ -77,24 +77,24 @@
   const raft& state() const { return raft_; }
 
  private:
-  void pump();
+  void process_actions();
   void write(const std::shared_ptr<persist_batch>& batch);
-  void written(const std::shared_ptr<persist_batch>& batch,
-               const absl::Status& status);
+  void on_written(const std::shared_ptr<persist_batch>& batch,
+                  const absl::Status& status);
   void compact_if_due();
 
   std::unique_ptr<log_store> store_;
   unsigned slow_write_ticks_ = 0;
   raft raft_;
-  serial_executor& queue_;
-  replica_callbacks& host_;
+  serial_executor& executor_;
+  replica_callbacks& callbacks_;
   compaction_settings compaction_;
-  size_t compacted_size_ = 0;
-  unsigned writes_out_ = 0;
+  size_t size_after_compaction_ = 0;
+  unsigned writes_in_flight_ = 0;
   // Ticks since the oldest write under way began.
   unsigned write_ticks_ = 0;
   // A batch that found the disk full; written again at the next tick.
-  std::shared_ptr<persist_batch> refused_;
+  std::shared_ptr<persist_batch> retry_batch_;
   bool failed_ = false;
   // A callback of the queue that comes after the replica's end does nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/consensus/returning-follower-test.cc
+++ b/consensus/returning-follower-test.cc
@@ -20,21 +20,21 @@
 /// 200 Mbit/s.
 constexpr double link_bytes_per_ms = 25'000;
 /// Answers to heartbeats share the connection; those after 450 ms are late.
-constexpr int most_wait_ms = 200;
+constexpr int max_wait_ms = 200;
 constexpr int tick_ms = 100;
 /// Messages of so long wait for a connection that is being made.
-constexpr int dial_ms = 700;
+constexpr int connect_ms = 700;
 
 struct scenario {
   const char* name;
   int cut_ms;
   // Boxes that are cut off, of five.
-  int cut;
+  int isolated_boxes;
   size_t entry_bytes;
   // When the leader compacts its log during the cut, and to how much; 0: never.
   int compacted_ms = 0;
   size_t state_bytes = 0;
-  int way_ms = 1;
+  int latency_ms = 1;
   int sync_ms = 0;
   // Times that it compacts, as long after each other.
   int compactions = 1;
@@ -42,7 +42,7 @@
   double slow_bytes_per_ms = 0;
 };
 
-struct message_on_way {
+struct message_in_flight {
   int due;
   int sent;
   proto::raft_message it;
@@ -79,11 +79,11 @@
     CHECK_TRUE(replicas_[0]->role() == raft_role::leader);
   }
 
-  void cut() { first_cut_ = boxes - scenario_.cut; }
+  void isolate() { first_cut_box_ = boxes - scenario_.isolated_boxes; }
   void heal() {
-    first_cut_ = boxes;
-    counting_ = true;
-    for (const auto& [to, all] : held_) {
+    first_cut_box_ = boxes;
+    measuring_ = true;
+    for (const auto& [to, all] : queued_) {
       for (const proto::raft_message& it : all) put_on_link(it);
     }
   }
@@ -109,7 +109,7 @@
       // What comes up while an entry and its commit are on their way.
       constexpr int entry_ms = 15;
       const auto near =
-          static_cast<uint64_t>(5 + 4 * scenario_.way_ms / entry_ms);
+          static_cast<uint64_t>(5 + 4 * scenario_.latency_ms / entry_ms);
       const uint64_t last = replicas_[0]->log().last_index();
       if (!dead_[i] && replicas_[i]->commit_index() + near < last) return false;
     }
@@ -144,7 +144,7 @@
     const uint64_t round = replicas_[0]->quorum_round();
     if (round != last_round_) round_at_ = now_;
     last_round_ = round;
-    if (counting_) {
+    if (measuring_) {
       longest_round_ms_ = std::max(longest_round_ms_, now_ - round_at_);
     }
   }
@@ -152,7 +152,7 @@
   void take(int i) {
     if (dead_[i]) return;
     if (sync_due_[i] == now_) replicas_[i]->persisted();
-    raft_actions actions = replicas_[i]->take();
+    raft_actions actions = replicas_[i]->take_actions();
     if (actions.persist && scenario_.sync_ms == 0) replicas_[i]->persisted();
     if (actions.persist) sync_due_[i] = now_ + scenario_.sync_ms;
     for (const proto::raft_message& it : actions.messages) send(i, it);
@@ -160,38 +160,39 @@
 
   void send(int from, const proto::raft_message& it) {
     const int to = it.to().back() - '0';
-    if (from >= first_cut_) return;
-    if (to >= first_cut_) {
-      if (now_ - held_since_ >= dial_ms) {
-        held_.clear();
-        held_since_ = now_;
+    if (from >= first_cut_box_) return;
+    if (to >= first_cut_box_) {
+      if (now_ - connecting_since_ >= connect_ms) {
+        queued_.clear();
+        connecting_since_ = now_;
       }
-      constexpr size_t most_held = 256;
-      auto& all = held_[to];
-      if (all.size() < most_held) all.push_back(it);
+      constexpr size_t max_queued = 256;
+      auto& all = queued_[to];
+      if (all.size() < max_queued) all.push_back(it);
       return;
     }
     if (from == 0) return put_on_link(it);
-    on_way_.push_back({now_ + scenario_.way_ms, now_, it});
+    in_flight_.push_back({now_ + scenario_.latency_ms, now_, it});
   }
 
   void put_on_link(const proto::raft_message& it) {
-    const bool returns = it.to().back() - '0' >= boxes - scenario_.cut;
+    const bool returns =
+        it.to().back() - '0' >= boxes - scenario_.isolated_boxes;
     const bool slow = returns && scenario_.slow_bytes_per_ms > 0;
     const double rate = slow ? scenario_.slow_bytes_per_ms : link_bytes_per_ms;
     double& free_at = slow ? slow_link_free_at_ : link_free_at_;
     free_at = std::max(free_at, static_cast<double>(now_)) +
               static_cast<double>(it.ByteSizeLong()) / rate;
-    const int due = static_cast<int>(free_at) + scenario_.way_ms;
-    on_way_.push_back({due, now_, it});
-    if (!counting_) return;
+    const int due = static_cast<int>(free_at) + scenario_.latency_ms;
+    in_flight_.push_back({due, now_, it});
+    if (!measuring_) return;
     longest_wait_ms_ = std::max(longest_wait_ms_, due - now_);
     if (returns) bytes_sent_ += it.ByteSizeLong();
   }
 
   void deliver() {
     std::vector<proto::raft_message> due;
-    std::erase_if(on_way_, [&](const message_on_way& it) {
+    std::erase_if(in_flight_, [&](const message_in_flight& it) {
       if (it.due > now_) return false;
       due.push_back(it.it);
       return true;
@@ -205,15 +206,15 @@
   scenario scenario_;
   seeded_random random_{1};
   std::array<std::unique_ptr<raft>, boxes> replicas_;
-  std::deque<message_on_way> on_way_;
+  std::deque<message_in_flight> in_flight_;
   // To boxes that are cut off, while a connection is being made.
-  std::map<int, std::vector<proto::raft_message>> held_;
-  int held_since_ = 0;
-  int first_cut_ = boxes;
+  std::map<int, std::vector<proto::raft_message>> queued_;
+  int connecting_since_ = 0;
+  int first_cut_box_ = boxes;
   int now_ = 0;
   double link_free_at_ = 0;
   double slow_link_free_at_ = 0;
-  bool counting_ = false;
+  bool measuring_ = false;
   size_t bytes_sent_ = 0;
   int longest_wait_ms_ = 0;
   std::array<bool, boxes> dead_{};
@@ -223,10 +224,10 @@
   int longest_round_ms_ = 0;
 };
 
-void check_within(size_t most, size_t found, const char* name,
-                  const char* what) {
-  CHECK_TEXT(found <= most,
-             str_cat(name, ", ", what, ": ", found, " of ", most).c_str());
+void check_at_most(size_t limit, size_t found, const char* name,
+                   const char* what) {
+  CHECK_TEXT(found <= limit,
+             str_cat(name, ", ", what, ": ", found, " of ", limit).c_str());
 }
 
 }  // namespace
@@ -253,7 +254,7 @@
   for (const scenario& it : rows) {
     cluster all(it);
     all.lead();
-    all.cut();
+    all.isolate();
     const int pause = it.compacted_ms / it.compactions;
     for (int i = 0; pause > 0 && i < it.compactions; ++i) {
       all.pass(pause);
@@ -266,9 +267,9 @@
     // Entries come at one in 15 ms; those of 5 s follow the missed ones.
     const size_t missed = it.entry_bytes * (it.cut_ms - it.compacted_ms) / 15;
     const size_t later = it.entry_bytes * 5'000 / 15;
-    const size_t once = it.cut * (missed + later + it.state_bytes);
-    check_within(once * 3 / 2, all.bytes_sent(), it.name, "bytes");
-    check_within(most_wait_ms, all.longest_wait_ms(), it.name, "wait in ms");
+    const size_t once = it.isolated_boxes * (missed + later + it.state_bytes);
+    check_at_most(once * 3 / 2, all.bytes_sent(), it.name, "bytes");
+    check_at_most(max_wait_ms, all.longest_wait_ms(), it.name, "wait in ms");
   }
 }
 
@@ -276,20 +277,20 @@
 // and the leader could decide nothing.
 TEST(returning_follower, answers_rounds_while_it_gets_a_snapshot) {
   constexpr int lease_ms = 650;
-  for (const int way : {1, 10, 25}) {
-    const scenario it{"a needed voter", 3'000, 1, 1'000, 2'000,
-                      16'000'000,       way};
+  for (const int latency : {1, 10, 25}) {
+    const scenario it{"a needed voter", 3'000,  1, 1'000, 2'000,
+                      16'000'000,       latency};
     cluster all(it);
     all.lead();
-    all.cut();
+    all.isolate();
     all.pass(it.compacted_ms);
     all.compact();
     all.pass(it.cut_ms - it.compacted_ms);
     all.heal();
     all.crash(2, 3);
     all.pass(8'000);
-    check_within(lease_ms, all.longest_round_ms(), it.name, "round in ms");
-    CHECK_TEXT(all.caught_up(), str_cat("way ", way).c_str());
+    check_at_most(lease_ms, all.longest_round_ms(), it.name, "round in ms");
+    CHECK_TEXT(all.caught_up(), str_cat("way ", latency).c_str());
   }
 }
 
@@ -301,8 +302,8 @@
     cluster all(it);
     all.lead();
     all.pass(15'000);
-    constexpr size_t most_behind = 40;
-    check_within(most_behind, all.uncommitted(), it.name, "uncommitted");
+    constexpr size_t max_uncommitted = 40;
+    check_at_most(max_uncommitted, all.uncommitted(), it.name, "uncommitted");
   }
 }
 
@@ -313,7 +314,7 @@
   it.slow_bytes_per_ms = 60;
   cluster all(it);
   all.lead();
-  all.cut();
+  all.isolate();
   all.pass(it.compacted_ms);
   all.compact();
   all.pass(it.cut_ms - it.compacted_ms);
--- a/consensus/soak/fake-disk.cc
+++ b/consensus/soak/fake-disk.cc
@@ -12,13 +12,13 @@
       : owner_(owner), name_(std::move(name)) {}
 
   absl::Status append(std::string_view bytes) override {
-    if (!owner_.spend()) return absl::InternalError("disk failed");
+    if (!owner_.consume_operation()) return absl::InternalError("disk failed");
     (*owner_.files_)[name_].unsynced += bytes;
     return absl::OkStatus();
   }
 
   absl::Status sync() override {
-    if (!owner_.spend()) return absl::InternalError("disk failed");
+    if (!owner_.consume_operation()) return absl::InternalError("disk failed");
     fake_file& it = (*owner_.files_)[name_];
     it.synced += it.unsynced;
     it.unsynced.clear();
@@ -30,7 +30,7 @@
   std::string name_;
 };
 
-bool fake_disk::spend() {
+bool fake_disk::consume_operation() {
   if (operations_left_ == unlimited) return true;
   if (operations_left_ == 0) return false;
   --operations_left_;
@@ -54,7 +54,7 @@
 
 absl::Status fake_disk::replace(const std::string& name,
                                 std::string_view content) {
-  if (!spend()) return absl::InternalError("disk failed");
+  if (!consume_operation()) return absl::InternalError("disk failed");
   (*files_)[name] = {std::string(content), ""};
   return absl::OkStatus();
 }
--- a/consensus/soak/fake-disk.h
+++ b/consensus/soak/fake-disk.h
@@ -41,7 +41,7 @@
  private:
   class file;
   static constexpr int unlimited = -1;
-  bool spend();
+  bool consume_operation();
 
   std::shared_ptr<std::map<std::string, fake_file>> files_ =
       std::make_shared<std::map<std::string, fake_file>>();
--- a/consensus/soak/soak-box.cc
+++ b/consensus/soak/soak-box.cc
@@ -35,7 +35,7 @@
       random_(random),
       observer_(observer) {}
 
-proto::membership soak_box::founders() const {
+proto::membership soak_box::founding_members() const {
   proto::membership members;
   for (const std::string& it : all_) {
     proto::replica& voter = *members.add_voters();
@@ -55,7 +55,8 @@
   const bool as_founder =
       new_cluster || options_.fault == injected_fault::empty_replica_votes;
   if (as_founder) {
-    return std::move(*log_store::create(disk_, self, "founder", founders()));
+    return std::move(
+        *log_store::create(disk_, self, "founder", founding_members()));
   }
   const std::string identity = str_cat("id-", random_.next());
   return std::move(*log_store::create(disk_, self, identity, {}));
@@ -136,7 +137,7 @@
 
 void soak_box::wipe() {
   disk_.wipe();
-  floor_ = 0;
+  highest_applied_ = 0;
 }
 
 void soak_box::run(std::function<absl::Status()> work,
@@ -162,13 +163,13 @@
 void soak_box::install(const proto::log_snapshot& snapshot) {
   state_ = detail::split(snapshot.data());
   applied_index_ = snapshot.index();
-  floor_ = std::max(floor_, applied_index_);
+  highest_applied_ = std::max(highest_applied_, applied_index_);
   observer_.installed(box_, applied_index_, state_);
 }
 
 void soak_box::apply(const proto::log_entry& entry) {
   applied_index_ = entry.index();
-  floor_ = std::max(floor_, applied_index_);
+  highest_applied_ = std::max(highest_applied_, applied_index_);
   if (entry.kind() == proto::entry_command) state_.push_back(entry.payload());
   observer_.applied(box_, entry);
 }
--- a/consensus/soak/soak-box.h
+++ b/consensus/soak/soak-box.h
@@ -46,15 +46,15 @@
   bool holds_synced(const proto::log_entry& entry);
 
   bool up() const { return replica_ != nullptr; }
-  replica& it() { return *replica_; }
-  const replica& it() const { return *replica_; }
+  replica& instance() { return *replica_; }
+  const replica& instance() const { return *replica_; }
   const std::string& box() const { return box_; }
   const std::string& identity() const { return identity_; }
   /// Commands applied, in order; kept over crashes to check the floor.
   const std::vector<std::string>& state() const { return state_; }
   uint64_t applied_index() const { return applied_index_; }
   /// Highest index applied since the data folder was last lost.
-  uint64_t floor() const { return floor_; }
+  uint64_t highest_applied() const { return highest_applied_; }
   bool has_writes() const { return !writes_.empty(); }
   unsigned snapshots() const { return snapshots_; }
 
@@ -74,7 +74,7 @@
   void end_process();
   std::unique_ptr<log_store> open_store(bool new_cluster);
   std::unique_ptr<log_store> without_vote(log_store& store);
-  proto::membership founders() const;
+  proto::membership founding_members() const;
 
   std::string box_;
   std::vector<std::string> all_;
@@ -87,7 +87,7 @@
   std::string identity_;
   std::vector<std::string> state_;
   uint64_t applied_index_ = 0;
-  uint64_t floor_ = 0;
+  uint64_t highest_applied_ = 0;
   unsigned snapshots_ = 0;
   bool failed_ = false;
 };
--- a/consensus/soak/soak-run.cc
+++ b/consensus/soak/soak-run.cc
@@ -11,8 +11,8 @@
 namespace kestrelreel {
 namespace detail {
 
-constexpr size_t messages_kept = 400;
-constexpr unsigned calm_steps = 6'000;
+constexpr size_t max_messages = 400;
+constexpr unsigned recovery_steps = 6'000;
 
 /// One seeded run.
 class soak final : public soak_observer {
@@ -24,28 +24,28 @@
       names.push_back(str_cat("b", i));
     }
     for (const std::string& it : names) {
-      nodes_.push_back(
+      boxes_.push_back(
           std::make_unique<soak_box>(it, names, options_, random_, *this));
     }
-    for (auto& it : nodes_) it->start(true);
+    for (auto& it : boxes_) it->start(true);
   }
 
   soak_report run() {
-    for (unsigned i = 0; i < options_.steps && good(); ++i) {
+    for (unsigned i = 0; i < options_.steps && no_violation(); ++i) {
       report_.step = i;
-      rough_step();
+      random_step();
       check_leaders();
     }
-    if (good()) settle();
+    if (no_violation()) settle();
     report_.committed = committed_.size();
     report_.acknowledged = acknowledged_.size();
-    for (auto& it : nodes_) report_.snapshots += it->snapshots();
+    for (auto& it : boxes_) report_.snapshots += it->snapshots();
     return report_;
   }
 
   void sent(const proto::raft_message& m) override {
     if (cut_.contains({m.from(), m.to()})) return;
-    if (network_.size() >= messages_kept) return;
+    if (network_.size() >= max_messages) return;
     network_.push_back(m);
   }
 
@@ -70,30 +70,30 @@
   }
 
  private:
-  bool good() const { return report_.violation.empty(); }
+  bool no_violation() const { return report_.violation.empty(); }
   void fail(std::string text) {
-    if (good()) report_.violation = std::move(text);
+    if (no_violation()) report_.violation = std::move(text);
   }
 
-  soak_box& any() { return *nodes_[random_.below(nodes_.size())]; }
+  soak_box& random_box() { return *boxes_[random_.below(boxes_.size())]; }
 
-  void rough_step() {
+  void random_step() {
     const uint64_t dice = random_.below(1'000);
     if (dice < 480) return deliver();
     if (dice < 700) return tick_one();
-    if (dice < 850) return run_disk_of(any());
+    if (dice < 850) return run_disk_of(random_box());
     if (dice < 940) return propose();
     if (dice < 945) return crash_one();
     if (dice < 970) return start_one();
     if (dice < 972) return lose_folder();
     if (dice < 976) return cut_link();
     if (dice < 996) return heal_link();
-    any_leader_transfers();
+    transfer_or_contest_leadership();
   }
 
   void tick_one() {
-    soak_box& it = any();
-    if (it.up()) it.it().tick();
+    soak_box& it = random_box();
+    if (it.up()) it.instance().tick();
   }
 
   void run_disk_of(soak_box& it) {
@@ -116,18 +116,18 @@
 
   void hand_over(const proto::raft_message& m) {
     if (cut_.contains({m.from(), m.to()})) return;
-    for (auto& it : nodes_) {
-      if (it->box() == m.to() && it->up()) it->it().receive(m);
+    for (auto& it : boxes_) {
+      if (it->box() == m.to() && it->up()) it->instance().receive(m);
     }
   }
 
   soak_box* leader() {
     soak_box* best = nullptr;
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       if (!it->up()) continue;
-      const raft& r = it->it().state();
+      const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
-      if (best == nullptr || r.term() > best->it().state().term()) {
+      if (best == nullptr || r.term() > best->instance().state().term()) {
         best = it.get();
       }
     }
@@ -138,46 +138,46 @@
     soak_box* it = leader();
     if (it == nullptr) return;
     const std::string text = str_cat("c", ++proposals_);
-    if (it->it().propose(text).ok()) note_acknowledged();
+    if (it->instance().propose(text).ok()) note_acknowledged();
   }
 
   /// A leader answers its callers once it has applied their commands.
   void note_acknowledged() {
     const soak_box* it = leader();
     if (it == nullptr) return;
-    for (size_t i = answered_; i < it->state().size(); ++i) {
+    for (size_t i = acknowledged_count_; i < it->state().size(); ++i) {
       acknowledged_.insert(it->state()[i]);
     }
-    answered_ = std::max(answered_, it->state().size());
+    acknowledged_count_ = std::max(acknowledged_count_, it->state().size());
   }
 
   void crash_one() {
-    soak_box& it = any();
+    soak_box& it = random_box();
     if (!it.up()) return;
     it.crash();
     ++report_.crashes;
   }
 
   void start_one() {
-    soak_box& it = any();
+    soak_box& it = random_box();
     if (!it.up()) start(it);
   }
 
   void start(soak_box& it) {
     it.start(false);
     const uint64_t now = it.applied_index();
-    if (options_.fault == injected_fault::none && now < it.floor()) {
+    if (options_.fault == injected_fault::none && now < it.highest_applied()) {
       fail(str_cat(it.box(), " starts at ", now, ", below its floor ",
-                   it.floor()));
+                   it.highest_applied()));
     }
   }
 
   /// Loses a data folder where enough voters keep theirs for the record to
   /// live on.
   void lose_folder() {
-    soak_box& it = any();
-    for (auto& node : nodes_) {
-      if (!node->up() || !knows_all_voters(*node)) return;
+    soak_box& it = random_box();
+    for (auto& member : boxes_) {
+      if (!member->up() || !knows_all_voters(*member)) return;
     }
     if (it.up()) it.crash();
     it.wipe();
@@ -187,24 +187,24 @@
 
   /// True when every box is a voter with its present folder, by that node's
   /// log.
-  bool knows_all_voters(soak_box& node) const {
-    const proto::membership& members = node.it().state().members();
-    for (const auto& it : nodes_) {
+  bool knows_all_voters(soak_box& member) const {
+    const proto::membership& members = member.instance().state().members();
+    for (const auto& it : boxes_) {
       if (!is_voter(members, it->box(), it->identity())) return false;
     }
     return true;
   }
 
   size_t index_of(const std::string& box) const {
-    for (size_t i = 0; i < nodes_.size(); ++i) {
-      if (nodes_[i]->box() == box) return i;
+    for (size_t i = 0; i < boxes_.size(); ++i) {
+      if (boxes_[i]->box() == box) return i;
     }
     return 0;
   }
 
   void cut_link() {
-    const soak_box& a = any();
-    const soak_box& b = any();
+    const soak_box& a = random_box();
+    const soak_box& b = random_box();
     if (&a != &b) cut_.insert({a.box(), b.box()});
   }
 
@@ -213,27 +213,27 @@
   }
 
   /// Hands over as the code does, or lets others contest the next term.
-  void any_leader_transfers() {
+  void transfer_or_contest_leadership() {
     soak_box* it = leader();
     if (it == nullptr) return;
-    if (random_.below(2) == 0) return it->it().transfer_leadership();
-    contest(*it);
+    if (random_.below(2) == 0) return it->instance().transfer_leadership();
+    contest_term(*it);
   }
 
   /// Two replicas stand in one term, and the third crashes between their
   /// requests: more than the code lets happen, as a leader stops leading with
   /// its hand-over. The one vote must stand all the same.
-  void contest(soak_box& old) {
+  void contest_term(soak_box& old) {
     std::vector<soak_box*> others;
-    const uint64_t last = old.it().state().log().last_index();
-    for (auto& it : nodes_) {
+    const uint64_t last = old.instance().state().log().last_index();
+    for (auto& it : boxes_) {
       if (it.get() == &old || !it->up()) continue;
       // One that lacks an entry would get no vote.
-      if (it->it().state().log().last_index() != last) continue;
+      if (it->instance().state().log().last_index() != last) continue;
       others.push_back(it.get());
     }
     if (others.size() < 2 || !cut_.empty()) return;
-    for (soak_box* it : others) stand(old, *it);
+    for (soak_box* it : others) start_candidacy(old, *it);
     ask_for_vote(*others[0], old);
     old.crash();
     ++report_.crashes;
@@ -241,14 +241,14 @@
     ask_for_vote(*others[1], old);
   }
 
-  void stand(const soak_box& old, soak_box& it) {
+  void start_candidacy(const soak_box& old, soak_box& it) {
     proto::raft_message m;
     m.set_kind(proto::raft_timeout_now);
     m.set_from(old.box());
     m.set_from_identity(old.identity());
     m.set_to(it.box());
-    m.set_term(old.it().state().term());
-    it.it().receive(m);
+    m.set_term(old.instance().state().term());
+    it.instance().receive(m);
     finish_writes(it);
   }
 
@@ -278,9 +278,9 @@
 
   void check_leaders() {
     note_acknowledged();
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       if (!it->up()) continue;
-      const raft& r = it->it().state();
+      const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
       const auto [known, fresh] = leaders_.try_emplace(r.term(), it->box());
       if (fresh) ++report_.elections;
@@ -294,13 +294,13 @@
   /// and accept a new command.
   void settle() {
     cut_.clear();
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       if (!it->up()) start(*it);
     }
-    for (unsigned i = 0; i < calm_steps && good(); ++i) {
-      for (auto& it : nodes_) it->run_disk();
+    for (unsigned i = 0; i < recovery_steps && no_violation(); ++i) {
+      for (auto& it : boxes_) it->run_disk();
       if (i % 12 == 0) {
-        for (auto& it : nodes_) it->it().tick();
+        for (auto& it : boxes_) it->instance().tick();
       }
       for (size_t n = network_.size(); n > 0; --n) {
         const proto::raft_message m = network_.front();
@@ -309,14 +309,14 @@
       }
       check_leaders();
       if (i % 600 == 599) propose();
-      if (i > calm_steps / 3 && i % 600 == 300 && agreed()) break;
+      if (i > recovery_steps / 3 && i % 600 == 300 && agreed()) break;
     }
-    if (good()) check_end();
+    if (no_violation()) check_end();
   }
 
   bool agreed() {
-    for (auto& it : nodes_) {
-      if (it->applied_index() != nodes_[0]->applied_index()) return false;
+    for (auto& it : boxes_) {
+      if (it->applied_index() != boxes_[0]->applied_index()) return false;
     }
     const soak_box* it = leader();
     return it != nullptr && full_membership() && holds_last();
@@ -324,20 +324,21 @@
 
   bool full_membership() {
     const soak_box* it = leader();
-    const auto& members = nodes_[index_of(it->box())]->it().state().members();
-    return members.voters_size() == static_cast<int>(nodes_.size());
+    const auto& members =
+        boxes_[index_of(it->box())]->instance().state().members();
+    return members.voters_size() == static_cast<int>(boxes_.size());
   }
 
   bool holds_last() const {
-    const auto& state = nodes_[0]->state();
+    const auto& state = boxes_[0]->state();
     return !state.empty() && state.back() == str_cat("c", proposals_);
   }
 
   /// Each replica in a few words, for a failure's text.
   std::string describe() {
     std::string out;
-    for (auto& it : nodes_) {
-      const raft& r = it->it().state();
+    for (auto& it : boxes_) {
+      const raft& r = it->instance().state();
       str_append(out, " ", it->box(), "(", it->identity(), ") ",
                  to_string(r.role()), " term ", r.term(), " commit ",
                  r.commit_index(), " applied ", it->applied_index(), " last ",
@@ -351,25 +352,25 @@
     if (!agreed()) {
       return fail("the replicas do not agree once all is well:" + describe());
     }
-    const auto& state = nodes_[0]->state();
+    const auto& state = boxes_[0]->state();
     const std::set<std::string> held(state.begin(), state.end());
     for (const std::string& it : acknowledged_) {
       if (!held.contains(it)) return fail(str_cat("lost ", it));
     }
-    for (auto& it : nodes_) {
+    for (auto& it : boxes_) {
       if (it->state() != state) return fail("states differ at the end");
     }
   }
 
   soak_options options_;
   seeded_random random_;
-  std::vector<std::unique_ptr<soak_box>> nodes_;
+  std::vector<std::unique_ptr<soak_box>> boxes_;
   std::vector<proto::raft_message> network_;
   std::set<std::pair<std::string, std::string>> cut_;
   std::map<uint64_t, proto::log_entry> committed_;
   std::map<uint64_t, std::string> leaders_;
   std::set<std::string> acknowledged_;
-  size_t answered_ = 0;
+  size_t acknowledged_count_ = 0;
   uint64_t proposals_ = 0;
   soak_report report_;
 };
--- a/record/feed-progress.h
+++ b/record/feed-progress.h
@@ -15,7 +15,7 @@
 /// How far a box is: the last entry, and bytes of a snapshot that follows it.
 struct feed_position {
   uint64_t applied = 0;
-  uint64_t part = 0;
+  uint64_t snapshot_bytes = 0;
   auto operator<=>(const feed_position&) const = default;
 };
 
@@ -25,10 +25,10 @@
   /// What needs no sending now.
   const feed_position& sent() const { return sent_; }
   /// False while as much is on its way as may be.
-  bool has_room() const;
+  bool can_send() const;
   /// True when the subscriber should tell what it holds before its next ask is
   /// due, so that more may go.
-  bool wants_answer() const;
+  bool wants_acknowledgement() const;
 
   /// What goes up to `last` was sent, of so many bytes.
   void note_sent(const feed_position& last, size_t bytes, time_point now);
@@ -37,26 +37,26 @@
   /// It holds all up to `at` after message `seen` came (0: not told). What is
   /// on its way counts as lost when a later message came without it, or the
   /// subscriber has begun anew or not moved on for a time that doubles.
-  void told(const feed_position& at, uint64_t seen, time_point now);
+  void on_report(const feed_position& at, uint64_t seen, time_point now);
 
  private:
-  struct batch {
+  struct sent_message {
     uint64_t number;
     feed_position last;
     size_t bytes;
   };
-  milliseconds patience() const;
-  void moved_on(const feed_position& at, time_point now);
-  void begin_after(const feed_position& at, time_point now);
+  milliseconds retry_delay() const;
+  void advance(const feed_position& at, time_point now);
+  void resume_after(const feed_position& at, time_point now);
 
-  feed_position held_;
+  feed_position acknowledged_;
   feed_position sent_;
   uint64_t number_ = 0;
-  std::deque<batch> out_;
-  size_t bytes_out_ = 0;
+  std::deque<sent_message> in_flight_;
+  size_t bytes_in_flight_ = 0;
   // Since when it has not moved on, though something is on its way.
-  time_point since_{};
-  std::optional<time_point> begun_;
+  time_point stalled_since_{};
+  std::optional<time_point> resumed_at_;
   unsigned repeats_ = 0;
 };
 
--- a/record/feed-test.cc
+++ b/record/feed-test.cc
@@ -17,7 +17,7 @@
   time_point at{1'000};
 };
 
-struct letter {
+struct message_in_flight {
   box_id from;
   box_id to;
   proto::peer_message m;
@@ -29,13 +29,13 @@
                                  {box_id("e"), data_centre_id("d"), "", false},
                                  {box_id("f"), data_centre_id("d"), "", false}};
   virtual_clock clock;
-  std::deque<letter> mail;
+  std::deque<message_in_flight> in_flight;
   struct box {
     box(feed_world& world, const std::string& name)
         : id(name), table(id, world.entries, world.clock) {
       const auto send = [&world, name](const box_id& to,
                                        proto::peer_message m) {
-        world.mail.push_back({box_id(name), to, std::move(m)});
+        world.in_flight.push_back({box_id(name), to, std::move(m)});
       };
       source = std::make_unique<feed_source>(state, world.clock, send);
       sink = std::make_unique<feed_sink>(table, world.clock, send);
@@ -55,7 +55,7 @@
   box f{*this, "f"};
   seeded_random random{3};
   uint64_t version = 0;
-  bool r_up = true;
+  bool replica_up = true;
 
   void commit() {
     proto::command command;
@@ -79,22 +79,22 @@
 
   void step(unsigned loss_percent) {
     clock.at += milliseconds(100);
-    if (r_up) heartbeat(r);
+    if (replica_up) heartbeat(r);
     heartbeat(e);
     heartbeat(f);
     for (box* it : {&e, &f}) it->sink->tick(it->state.applied());
     for (box* it : {&r, &e, &f}) it->source->flush();
-    for (size_t n = mail.size(); n > 0; --n) {
-      const letter it = mail.front();
-      mail.pop_front();
+    for (size_t n = in_flight.size(); n > 0; --n) {
+      const message_in_flight it = in_flight.front();
+      in_flight.pop_front();
       if (random.below(100) < loss_percent) continue;
       deliver(it);
     }
   }
 
-  void deliver(const letter& it) {
+  void deliver(const message_in_flight& it) {
     box& to = it.to == r.id ? r : it.to == e.id ? e : f;
-    if (&to == &r && !r_up) return;
+    if (&to == &r && !replica_up) return;
     if (it.m.has_feed()) to.source->on_request(it.from, it.m.feed(), "r");
     if (!it.m.has_fed()) return;
     if (const auto* whole = to.sink->take_snapshot(it.from, it.m.fed())) {
@@ -137,7 +137,7 @@
   feed_world world;
   for (int i = 0; i < 5; ++i) world.commit();
   for (int i = 0; i < 30; ++i) world.step(0);
-  world.r_up = false;
+  world.replica_up = false;
   world.e.state = record_state();
   for (int i = 0; i < 100; ++i) world.step(0);
   CHECK_EQUAL(5, world.e.state.version());
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -24,7 +24,7 @@
 /// What may be sent on top of what is owed.
 constexpr size_t window = 600 * kilobyte;
 /// What waits for a subscriber that does not get on, entries or snapshot parts.
-constexpr size_t most_waiting = 300 * kilobyte;
+constexpr size_t max_unacknowledged = 300 * kilobyte;
 
 struct scenario {
   const char* name;
@@ -38,16 +38,16 @@
   // How often its last ask comes again; 0: never.
   int repeat_ms = 0;
   // How long asks are held up, to arrive all at once.
-  int asks_held_ms = 0;
+  int request_delay_ms = 0;
   // Of 100 messages.
-  unsigned lost = 0;
+  unsigned loss_percent = 0;
   // It asks at its own times alone, and takes a state whole.
   bool earlier_version = false;
   // There is another live box, which never answers.
-  bool other = false;
+  bool other_source = false;
 };
 
-struct on_way {
+struct message_in_flight {
   int due;
   proto::peer_message m;
 };
@@ -65,7 +65,9 @@
     for (const int end = now_ + ms; now_ < end;) step();
   }
 
-  size_t owed() const { return scenario_.entries * scenario_.entry_bytes; }
+  size_t missing_bytes() const {
+    return scenario_.entries * scenario_.entry_bytes;
+  }
   size_t sent() const { return sent_; }
   bool caught_up() const { return fed_.applied() == state_.applied(); }
 
@@ -93,33 +95,34 @@
       proto::box_digest ahead;
       ahead.set_applied(state_.applied());
       boxes_.record_heartbeat(box_id("source"), 1, ahead);
-      if (scenario_.other) boxes_.record_heartbeat(box_id("silent"), 1, ahead);
+      if (scenario_.other_source)
+        boxes_.record_heartbeat(box_id("silent"), 1, ahead);
       sink_.tick(fed_.applied());
       source_.flush();
     }
     const int repeat = scenario_.repeat_ms;
-    if (repeat > 0 && now_ % repeat == 0) asks_.push_back(last_ask_);
-    const int held = scenario_.asks_held_ms;
+    if (repeat > 0 && now_ % repeat == 0) requests_.push_back(last_request_);
+    const int held = scenario_.request_delay_ms;
     if (held == 0 || now_ % held == 0) {
-      for (const auto& it : std::exchange(asks_, {})) {
+      for (const auto& it : std::exchange(requests_, {})) {
         source_.on_request(box_id("fed"), it, "leader");
       }
     }
     while (!link_.empty() && link_.front().due <= now_) {
       const proto::peer_message m = std::move(link_.front().m);
       link_.pop_front();
-      if (random_.below(100) >= scenario_.lost) take(m.fed());
+      if (random_.below(100) >= scenario_.loss_percent) take(m.fed());
     }
   }
 
-  void ask(proto::feed_request it) {
+  void request(proto::feed_request it) {
     if (scenario_.earlier_version) {
       const uint64_t applied = it.applied();
       it.Clear();
       it.set_applied(applied);
     }
-    last_ask_ = it;
-    asks_.push_back(it);
+    last_request_ = it;
+    requests_.push_back(it);
   }
 
   void take(proto::feed_reply reply) {
@@ -154,17 +157,17 @@
       {box_id("fed"), data_centre_id("d"), "", false}};
   box_table boxes_;
   feed_sink sink_{boxes_, clock_, [this](const box_id& to, const auto& m) {
-                    if (to == box_id("source")) ask(m.feed());
+                    if (to == box_id("source")) request(m.feed());
                   }};
-  proto::feed_request last_ask_;
-  std::deque<on_way> link_;
-  std::deque<proto::feed_request> asks_;
+  proto::feed_request last_request_;
+  std::deque<message_in_flight> link_;
+  std::deque<proto::feed_request> requests_;
   int now_ = 0;
   double link_free_at_ = 0;
   size_t sent_ = 0;
 };
 
-void check_within(size_t most, size_t found, const scenario& it) {
+void check_sent_at_most(size_t most, size_t found, const scenario& it) {
   CHECK_TEXT(found <= most,
              str_cat(it.name, ": sent ", found, " of ", most).c_str());
 }
@@ -206,10 +209,11 @@
     feed.pass(it.seconds * 1'000);
     CHECK_TEXT(feed.caught_up(), str_cat(it.name, ": not caught up").c_str());
     // Small entries have as much again of numbers around them.
-    const size_t around = it.entries * 60;
+    const size_t overhead = it.entries * 60;
     // Asks that are older than what is sent is waited for cost a window each.
-    const size_t late = it.asks_held_ms > 2'000 ? window : 0;
-    check_within(feed.owed() + around + window + late, feed.sent(), it);
+    const size_t late_requests = it.request_delay_ms > 2'000 ? window : 0;
+    check_sent_at_most(feed.missing_bytes() + overhead + window + late_requests,
+                       feed.sent(), it);
   }
 }
 
@@ -227,9 +231,9 @@
   for (const scenario& it : rows) {
     slow_feed feed(it);
     feed.pass(it.seconds * 1'000);
-    check_within(2 * most_waiting, feed.sent(), it);
+    check_sent_at_most(2 * max_unacknowledged, feed.sent(), it);
     feed.pass(27'000);
-    check_within(10 * most_waiting, feed.sent(), it);
+    check_sent_at_most(10 * max_unacknowledged, feed.sent(), it);
   }
 }
 
--- a/record/feed.cc
+++ b/record/feed.cc
@@ -6,15 +6,15 @@
 namespace kestrelreel {
 namespace detail {
 
-constexpr milliseconds ask_interval{500};
-constexpr milliseconds subscription{3'000};
+constexpr milliseconds request_interval{500};
+constexpr milliseconds subscription_timeout{3'000};
 /// What is on its way to a box whose asks come late must not be sent anew.
-constexpr milliseconds remembered{30'000};
-constexpr milliseconds source_patience{1'500};
+constexpr milliseconds subscriber_retention{30'000};
+constexpr milliseconds source_timeout{1'500};
 /// A source that served so long ends the round in which each has its turn.
-constexpr milliseconds good_service{10'000};
-constexpr size_t recent_limit = 4 << 20;
-constexpr size_t message_limit = 64 << 10;
+constexpr milliseconds stable_service_time{10'000};
+constexpr size_t max_recent_bytes = 4 << 20;
+constexpr size_t max_message_bytes = 64 << 10;
 
 }  // namespace detail
 
@@ -25,7 +25,7 @@
 void feed_source::on_applied(const proto::log_entry& entry) {
   recent_.push_back(entry);
   recent_bytes_ += entry.ByteSizeLong();
-  while (recent_bytes_ > detail::recent_limit && recent_.size() > 1) {
+  while (recent_bytes_ > detail::max_recent_bytes && recent_.size() > 1) {
     recent_bytes_ -= recent_.front().ByteSizeLong();
     recent_.pop_front();
   }
@@ -40,13 +40,13 @@
                              const proto::feed_request& request,
                              const std::string& leader) {
   subscriber& it = subscribers_[from];
-  it.asked = clock_.now();
+  it.last_request = clock_.now();
   it.leader = leader;
   it.in_parts = request.in_parts();
   const bool holds_part = it.snapshot && it.snapshot->id == request.transfer();
-  it.progress.told({request.applied(), holds_part ? request.held() : 0},
-                   request.seen(), it.asked);
-  if (it.snapshot && request.applied() >= it.snapshot->whole.index()) {
+  it.progress.on_report({request.applied(), holds_part ? request.held() : 0},
+                        request.seen(), it.last_request);
+  if (it.snapshot && request.applied() >= it.snapshot->content.index()) {
     it.snapshot.reset();
   }
   if (send_after(from, it)) return;
@@ -62,8 +62,8 @@
   const time_point now = clock_.now();
   for (auto it = subscribers_.begin(); it != subscribers_.end();) {
     subscriber& to = it->second;
-    const bool silent = now - to.asked > detail::subscription;
-    if (now - to.asked > detail::remembered) {
+    const bool silent = now - to.last_request > detail::subscription_timeout;
+    if (now - to.last_request > detail::subscriber_retention) {
       it = subscribers_.erase(it);
       continue;
     }
@@ -77,7 +77,7 @@
 bool feed_source::send_after(const box_id& to, subscriber& it) {
   bool sent = false;
   while (it.progress.sent().applied < state_.applied() &&
-         it.progress.has_room()) {
+         it.progress.can_send()) {
     send_message(to, it);
     sent = true;
   }
@@ -89,17 +89,18 @@
   proto::feed_reply& reply = *m.mutable_fed();
   reply.set_leader(it.leader);
   feed_position last = it.progress.sent();
-  const bool have = has_after(last.applied);
+  const bool have = has_entries_after(last.applied);
   if (have) {
     it.snapshot.reset();
-    last.part = 0;
+    last.snapshot_bytes = 0;
   } else {
     last = add_snapshot(it, reply);
   }
   size_t n = reply.ByteSizeLong();
-  const bool entries_follow = last.part == 0 && has_after(last.applied);
+  const bool entries_follow =
+      last.snapshot_bytes == 0 && has_entries_after(last.applied);
   while (entries_follow && last.applied < state_.applied() &&
-         n < detail::message_limit) {
+         n < detail::max_message_bytes) {
     const proto::log_entry& entry =
         recent_[last.applied + 1 - recent_.front().index()];
     n += entry.ByteSizeLong();
@@ -109,12 +110,12 @@
   it.progress.note_sent(last, n, clock_.now());
   reply.set_applied(last.applied);
   reply.set_number(it.progress.number());
-  reply.set_acknowledge(it.progress.wants_answer());
+  reply.set_acknowledge(it.progress.wants_acknowledgement());
   send_(to, std::move(m));
 }
 
 /// True when all entries after `index` can be given.
-bool feed_source::has_after(uint64_t index) const {
+bool feed_source::has_entries_after(uint64_t index) const {
   if (index == state_.applied()) return true;
   return !recent_.empty() && recent_.front().index() <= index + 1;
 }
@@ -124,20 +125,21 @@
 feed_position feed_source::add_snapshot(subscriber& it,
                                         proto::feed_reply& reply) {
   const feed_position at = it.progress.sent();
-  const bool goes_on =
-      it.snapshot && at.part > 0 && it.snapshot->whole.index() > at.applied;
-  const bool again = it.snapshot && has_after(it.snapshot->whole.index());
+  const bool goes_on = it.snapshot && at.snapshot_bytes > 0 &&
+                       it.snapshot->content.index() > at.applied;
+  const bool again =
+      it.snapshot && has_entries_after(it.snapshot->content.index());
   if (!goes_on && !again) it.snapshot = take_snapshot();
-  const proto::log_snapshot& whole = it.snapshot->whole;
+  const proto::log_snapshot& whole = it.snapshot->content;
   proto::log_snapshot& part = *reply.mutable_snapshot();
   if (!it.in_parts) {
     part = whole;
     return {whole.index(), 0};
   }
-  const uint64_t offset = goes_on ? at.part : 0;
+  const uint64_t offset = goes_on ? at.snapshot_bytes : 0;
   part.set_index(whole.index());
   part.set_term(whole.term());
-  part.set_data(whole.data().substr(offset, detail::message_limit));
+  part.set_data(whole.data().substr(offset, detail::max_message_bytes));
   reply.set_transfer(it.snapshot->id);
   reply.set_offset(offset);
   reply.set_total(whole.data().size());
@@ -147,17 +149,17 @@
 }
 
 std::shared_ptr<const feed_snapshot> feed_source::take_snapshot() {
-  auto latest = latest_.lock();
-  if (latest && latest->whole.index() == state_.applied()) return latest;
+  auto latest = latest_snapshot_.lock();
+  if (latest && latest->content.index() == state_.applied()) return latest;
   // Parts that a box holds from an earlier life of this one fit no later one.
-  if (transfers_ == 0)
-    transfers_ = static_cast<uint64_t>(clock_.now().count()) << 20;
+  if (last_transfer_id_ == 0)
+    last_transfer_id_ = static_cast<uint64_t>(clock_.now().count()) << 20;
   auto it = std::make_shared<feed_snapshot>();
-  it->id = ++transfers_;
-  it->whole.set_index(state_.applied());
-  it->whole.set_term(state_.applied_term());
-  it->whole.set_data(state_.save());
-  latest_ = it;
+  it->id = ++last_transfer_id_;
+  it->content.set_index(state_.applied());
+  it->content.set_term(state_.applied_term());
+  it->content.set_data(state_.save());
+  latest_snapshot_ = it;
   return it;
 }
 
@@ -167,34 +169,34 @@
 
 void feed_sink::tick(uint64_t applied) {
   const time_point now = clock_.now();
-  if (asked_ && now - *asked_ < detail::ask_interval) return;
-  const bool silent = now - answered_ > detail::source_patience;
-  const bool lags = source_lags(applied);
-  if (source_.empty() || !boxes_.live(source_) || silent || lags) {
+  if (last_request_ && now - *last_request_ < detail::request_interval) return;
+  const bool silent = now - last_reply_ > detail::source_timeout;
+  const bool lagging = is_source_lagging(applied);
+  if (source_.empty() || !boxes_.live(source_) || silent || lagging) {
     change_source(now);
     behind_since_.reset();
   }
-  if (!source_.empty()) ask(applied);
+  if (!source_.empty()) send_request(applied);
 }
 
-void feed_sink::ask(uint64_t applied) {
-  asked_ = clock_.now();
+void feed_sink::send_request(uint64_t applied) {
+  last_request_ = clock_.now();
   proto::peer_message m;
   proto::feed_request& request = *m.mutable_feed();
   request.set_applied(applied);
   request.set_in_parts(true);
-  if (incoming_.whole.index() <= applied) incoming_ = {};
+  if (incoming_.content.index() <= applied) incoming_ = {};
   if (source_ == incoming_from_) {
     request.set_transfer(incoming_.id);
-    request.set_held(incoming_.whole.data().size());
+    request.set_held(incoming_.content.data().size());
   }
-  request.set_seen(seen_);
+  request.set_seen(last_number_);
   send_(source_, std::move(m));
 }
 
 /// True when another live box has long been ahead of this one, which then has
 /// a source that is cut off itself.
-bool feed_sink::source_lags(uint64_t applied) {
+bool feed_sink::is_source_lagging(uint64_t applied) {
   bool behind = false;
   for (const box_entry& it : boxes_.boxes()) {
     if (it.id == boxes_.self() || !boxes_.live(it.id)) continue;
@@ -207,22 +209,22 @@
   }
   if (!behind_since_) behind_since_ = now;
   // What came of a snapshot would be lost with its source.
-  return now - std::max(*behind_since_, part_came_) > detail::source_patience;
+  return now - std::max(*behind_since_, last_part_) > detail::source_timeout;
 }
 
 void feed_sink::on_reply(const box_id& from, const proto::feed_reply& reply,
                          uint64_t applied) {
   if (from != source_) return;
-  answered_ = clock_.now();
-  seen_ = reply.number();
-  if (reply.acknowledge()) ask(applied);
+  last_reply_ = clock_.now();
+  last_number_ = reply.number();
+  if (reply.acknowledge()) send_request(applied);
 }
 
 const proto::log_snapshot* feed_sink::take_snapshot(
     const box_id& from, const proto::feed_reply& reply) {
   if (!reply.has_snapshot()) return nullptr;
   if (reply.total() == 0) return &reply.snapshot();
-  proto::log_snapshot& whole = incoming_.whole;
+  proto::log_snapshot& whole = incoming_.content;
   if (from != incoming_from_ || incoming_.id != reply.transfer()) {
     if (from != source_) return nullptr;
     incoming_from_ = from;
@@ -231,12 +233,12 @@
   }
   if (reply.offset() != whole.data().size()) return nullptr;
   *whole.mutable_data() += reply.snapshot().data();
-  part_came_ = clock_.now();
+  last_part_ = clock_.now();
   return whole.data().size() < reply.total() ? nullptr : &whole;
 }
 
 void feed_sink::change_source(time_point now) {
-  if (now - chosen_ > detail::good_service) tried_.clear();
+  if (now - source_since_ > detail::stable_service_time) tried_.clear();
   if (!source_.empty()) tried_.insert(source_);
   const std::vector<box_id> all = candidates();
   const auto untried = [&](const box_id& it) { return !tried_.contains(it); };
@@ -248,8 +250,8 @@
     next = std::ranges::find_if(all, untried);
   }
   source_ = next == all.end() ? box_id() : *next;
-  seen_ = 0;
-  chosen_ = answered_ = now;
+  last_number_ = 0;
+  source_since_ = last_reply_ = now;
 }
 
 /// Live boxes, the nearest first: replicas here, replicas elsewhere, then the
--- a/record/feed.h
+++ b/record/feed.h
@@ -27,7 +27,7 @@
 /// A state that goes to other boxes in parts.
 struct feed_snapshot {
   uint64_t id = 0;
-  proto::log_snapshot whole;
+  proto::log_snapshot content;
 };
 
 /// The side that gives entries. Every box has one.
@@ -49,7 +49,7 @@
  private:
   struct subscriber {
     feed_progress progress;
-    time_point asked{};
+    time_point last_request{};
     std::string leader;
     bool in_parts = false;
     /// The one that is on its way; null for none.
@@ -57,7 +57,7 @@
   };
   bool send_after(const box_id& to, subscriber& it);
   void send_message(const box_id& to, subscriber& it);
-  bool has_after(uint64_t index) const;
+  bool has_entries_after(uint64_t index) const;
   feed_position add_snapshot(subscriber& it, proto::feed_reply& reply);
   std::shared_ptr<const feed_snapshot> take_snapshot();
 
@@ -67,8 +67,8 @@
   std::deque<proto::log_entry> recent_;
   size_t recent_bytes_ = 0;
   std::map<box_id, subscriber> subscribers_;
-  std::weak_ptr<const feed_snapshot> latest_;
-  uint64_t transfers_ = 0;
+  std::weak_ptr<const feed_snapshot> latest_snapshot_;
+  uint64_t last_transfer_id_ = 0;
 };
 
 /// The side that takes entries, on boxes without a replica.
@@ -89,25 +89,25 @@
                 uint64_t applied);
 
  private:
-  void ask(uint64_t applied);
+  void send_request(uint64_t applied);
   void change_source(time_point now);
   std::vector<box_id> candidates() const;
-  bool source_lags(uint64_t applied);
+  bool is_source_lagging(uint64_t applied);
 
   const box_table& boxes_;
   clock_source& clock_;
   send_function send_;
   box_id source_;
-  time_point chosen_{};
+  time_point source_since_{};
   /// Given up in this round; each other one comes before them.
   std::set<box_id> tried_;
   /// What came of a snapshot, and from whom: a former source may complete it.
   feed_snapshot incoming_;
   box_id incoming_from_;
-  time_point part_came_{};
-  uint64_t seen_ = 0;
-  std::optional<time_point> asked_;
-  time_point answered_{};
+  time_point last_part_{};
+  uint64_t last_number_ = 0;
+  std::optional<time_point> last_request_;
+  time_point last_reply_{};
   std::optional<time_point> behind_since_;
 };
 
--- a/record/record-state.cc
+++ b/record/record-state.cc
@@ -6,7 +6,7 @@
 namespace detail {
 
 // A day's changes at the target are 13,000.
-constexpr size_t outcomes_kept = 20'000;
+constexpr size_t max_outcomes = 20'000;
 
 }  // namespace detail
 
@@ -22,7 +22,7 @@
   if (command.has_complete()) apply_completion(command.complete());
 }
 
-proto::change_result record_state::judge(
+proto::change_result record_state::evaluate(
     const proto::state_change& change) const {
   const bool same = change.digest() == digest_;
   if (change.version() == version_ && same) return proto::change_accepted;
@@ -34,18 +34,18 @@
 
 void record_state::apply_change(const proto::state_change& change) {
   if (outcomes_.contains(change.request_id())) return;
-  const bool acceptable = judge(change) == proto::change_accepted;
+  const bool acceptable = evaluate(change) == proto::change_accepted;
   const bool newer = change.version() != version_;
   if (change.incomplete() && acceptable && newer) return;
   proto::change_outcome outcome;
   outcome.set_request_id(change.request_id());
-  outcome.set_result(judge(change));
+  outcome.set_result(evaluate(change));
   if (outcome.result() == proto::change_accepted) accept(change);
   outcome.set_version(version_);
   outcome.set_winner_author(author_);
   outcome.set_winner_request(request_id_);
   outcome.set_digest(digest_);
-  remember(std::move(outcome));
+  store_outcome(std::move(outcome));
 }
 
 void record_state::accept(const proto::state_change& change) {
@@ -71,26 +71,26 @@
   });
   for (const proto::spec_item& it : change.puts()) {
     if (it.has_job()) jobs_.try_emplace(it.job().name());
-    if (it.has_evacuation()) note_evacuation(change, it);
+    if (it.has_evacuation()) add_evacuation(change, it);
   }
 }
 
 /// The first change that orders it counts for its age.
-void record_state::note_evacuation(const proto::state_change& change,
-                                   const proto::spec_item& item) {
+void record_state::add_evacuation(const proto::state_change& change,
+                                  const proto::spec_item& item) {
   const std::string& name = item.evacuation().data_centre();
-  const auto [it, fresh] = evacuations_.try_emplace(name);
-  if (!fresh) return;
+  const auto [it, inserted] = evacuations_.try_emplace(name);
+  if (!inserted) return;
   it->second.set_data_centre(name);
   it->second.set_version(change.version());
   it->second.set_author(change.author());
   it->second.set_ordered_at_ms(change.proposed_at_ms());
 }
 
-void record_state::remember(proto::change_outcome outcome) {
+void record_state::store_outcome(proto::change_outcome outcome) {
   outcome_order_.push_back(outcome.request_id());
   outcomes_[outcome.request_id()] = std::move(outcome);
-  if (outcome_order_.size() <= detail::outcomes_kept) return;
+  if (outcome_order_.size() <= detail::max_outcomes) return;
   outcomes_.erase(outcome_order_.front());
   outcome_order_.pop_front();
 }
@@ -154,7 +154,7 @@
   request_id_ = all.request_id();
   items_ = by_key(all.items());
   for (proto::change_outcome& it : *all.mutable_outcomes()) {
-    remember(std::move(it));
+    store_outcome(std::move(it));
   }
   for (const proto::evacuation_state& it : all.evacuations()) {
     evacuations_[it.data_centre()] = it;
--- a/record/record-state.h
+++ b/record/record-state.h
@@ -69,11 +69,11 @@
   void apply_change(const proto::state_change& change);
   void apply_delegation(const proto::delegation& delegation);
   void apply_completion(const proto::completion& completion);
-  proto::change_result judge(const proto::state_change& change) const;
+  proto::change_result evaluate(const proto::state_change& change) const;
   void accept(const proto::state_change& change);
-  void note_evacuation(const proto::state_change& change,
-                       const proto::spec_item& item);
-  void remember(proto::change_outcome outcome);
+  void add_evacuation(const proto::state_change& change,
+                      const proto::spec_item& item);
+  void store_outcome(proto::change_outcome outcome);
 
   uint64_t applied_ = 0;
   uint64_t applied_term_ = 0;
