--- a/consensus/follower-progress-test.cc
+++ b/consensus/follower-progress-test.cc
@@ -1,5 +1,6 @@
-// Refusals of messages that were on their way are answers to one question: a
-// leader that took each for a new one sent the missing log once for each.
+// A leader must count only the first rejection of a group of messages in
+// flight. When each rejection counted, the missing log was sent once per
+// rejection.
 #include "consensus/follower-progress.h"
 
 #include <CppUTest/TestHarness.h>
@@ -14,7 +15,7 @@
 constexpr uint64_t batch_entries = 10;
 constexpr size_t batch_bytes = 1'000;
 
-/// Three batches are on their way to a follower that may hold all before them.
+/// Three batches are in flight to a follower that may hold all entries before.
 follower_progress make_progress() {
   follower_progress it;
   it.start_after(start_index);
@@ -25,7 +26,7 @@
 struct row {
   const char* name;
   std::function<void(follower_progress&)> before;
-  // The refusal, and whether it asks for anything.
+  // The rejection, and whether the leader must act on it.
   uint64_t previous;
   uint64_t hint;
   bool accepted_as_answer;
@@ -33,34 +34,34 @@
 };
 
 const row rows[] = {
-    {"the first", [](auto&) {}, 100, 40, true, 41},
-    {"of a message after the one that was refused",
+    {"first rejection", [](auto&) {}, 100, 40, true, 41},
+    {"of a message after the rejected one",
      [](auto& it) { it.rejected(100, 40); }, 110, 40, false, 41},
-    {"of a message before the one that is asked about",
+    {"of a message before the current probe",
      [](auto& it) { it.rejected(100, 40); }, 30, 20, false, 41},
-    {"of the one that is asked about", [](auto& it) { it.rejected(100, 40); },
-     40, 20, true, 21},
-    {"of what it holds by now",
+    {"of the current probe", [](auto& it) { it.rejected(100, 40); }, 40, 20,
+     true, 21},
+    {"of an index that matches by now",
      [](auto& it) {
        it.rejected(100, 40);
        it.accepted(60);
        it.sent(batch_entries, batch_bytes);
      },
      50, 20, false, 71},
-    {"of a message from before it was found to match",
+    {"of a message sent before the match was found",
      [](auto& it) {
        it.rejected(100, 40);
        it.accepted(60);
      },
      110, 40, false, 61},
-    {"after it held more, and lost it",
+    {"after the follower lost entries",
      [](auto& it) {
        it.rejected(100, 40);
        it.accepted(60);
        it.sent(batch_entries, batch_bytes);
      },
      65, 62, true, 63},
-    {"that tells no place", [](auto& it) { it.rejected(100, 40); }, 0, 20, true,
+    {"without an index", [](auto& it) { it.rejected(100, 40); }, 0, 20, true,
      21},
 };
 
@@ -68,7 +69,7 @@
 
 TEST_GROUP(follower_progress){};
 
-TEST(follower_progress, refusal_counts_where_it_answers_an_open_question) {
+TEST(follower_progress, stale_rejections_are_ignored) {
   for (const row& it : rows) {
     follower_progress progress = make_progress();
     it.before(progress);
@@ -78,8 +79,8 @@
   }
 }
 
-// What follows a refusal would be refused as well.
-TEST(follower_progress, nothing_is_on_its_way_after_a_refusal) {
+// Messages after a rejected one would be rejected as well.
+TEST(follower_progress, nothing_is_in_flight_after_a_rejection) {
   follower_progress it = make_progress();
   LONGS_EQUAL(3 * batch_bytes, it.bytes_in_flight());
   it.rejected(100, 40);
--- a/consensus/follower-progress.cc
+++ b/consensus/follower-progress.cc
@@ -5,7 +5,8 @@
 namespace kestrelreel {
 namespace detail {
 
-/// A follower that is back after a long time is not kept waiting for longer.
+/// Bounds the retry time, so that a follower that returns after a long absence
+/// waits at most 64 times the minimum.
 constexpr unsigned max_doublings = 6;
 
 }  // namespace detail
@@ -55,7 +56,8 @@
 bool follower_progress::rejected(uint64_t previous, uint64_t hint) {
   const bool told = previous != 0;
   if (told && (previous <= match_ || previous >= next_)) return false;
-  // Each message that was on its way is refused by itself.
+  // Every message that was in flight is rejected separately; only the answer to
+  // the current probe counts.
   if (told && probing_ && previous != next_ - 1) return false;
   next_ = std::max(match_, std::min(next_ - 1, hint)) + 1;
   probing_ = true;
--- a/consensus/follower-progress.h
+++ b/consensus/follower-progress.h
@@ -1,4 +1,5 @@
-// What a leader knows of one follower's log, and what is on its way there.
+// Replication state that a leader keeps for one follower: the part of the log
+// that the follower holds, and the messages in flight.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +12,26 @@
 
 namespace kestrelreel {
 
-/// A snapshot on its way to a follower, in parts.
+/// Sends one snapshot to a follower in parts.
 class snapshot_transfer {
  public:
   using snapshot_pointer = std::shared_ptr<const proto::log_snapshot>;
 
-  /// Null while none is on its way.
+  /// The snapshot being sent; null while there is none.
   const snapshot_pointer& snapshot() const { return snapshot_; }
+  /// Bytes that the follower has acknowledged.
   size_t acknowledged() const { return acknowledged_; }
+  /// Offset of the next byte to send.
   size_t sent() const { return sent_; }
 
-  /// To be called before parts are sent: takes up the newest snapshot while
-  /// nothing is held of an earlier one, and goes back to what the follower
-  /// said last when nothing moved for a time that doubles with each going back,
-  /// as a slow link takes long for what is on its way already.
+  /// Must be called before parts are sent. Switches to the newest snapshot
+  /// while the follower holds no part of an earlier one. Without progress for
+  /// the retry time, resends from the offset that the follower reported last;
+  /// the retry time doubles with each resend, because a slow link needs long to
+  /// deliver the parts already in flight.
   void prepare(const snapshot_pointer& newest, unsigned min_retry_ticks);
   void part_sent(size_t bytes) { sent_ += bytes; }
-  /// The follower holds so much of it.
+  /// The follower holds the snapshot up to `offset`.
   void acknowledge(size_t offset);
   void tick() { idle_ticks_ += snapshot_ ? 1 : 0; }
 
@@ -37,39 +41,42 @@
   snapshot_pointer snapshot_;
   size_t acknowledged_ = 0;
   size_t sent_ = 0;
-  // What the follower said last: less than before, if it started again.
+  // Offset reported last; falls when the follower restarts.
   size_t reported_ = 0;
-  // Since something was acknowledged, and after how many to go back.
+  // Ticks since the last progress, and the number after which parts are resent.
   unsigned idle_ticks_ = 0;
   unsigned retry_ticks_ = 0;
 };
 
-/// A follower of this replica, while it leads.
+/// Replication state of one follower.
 class follower_progress {
  public:
   std::string identity;
   bool learner = false;
+  /// Ticks since the last message from the follower.
   unsigned silent_ticks = 0;
-  /// The latest heartbeat round that it answered.
+  /// The latest heartbeat round that the follower answered.
   uint64_t round = 0;
   snapshot_transfer transfer;
 
-  /// The highest index known to be in its log, and the next one to be sent.
+  /// The highest index known to match the leader's log.
   uint64_t match() const { return match_; }
+  /// The next index to send.
   uint64_t next() const { return next_; }
-  /// It refused an append, and where its log matches is being asked for:
-  /// entries sent meanwhile would be refused as well.
+  /// True after a rejected append, while the leader searches for the matching
+  /// index. Entries sent meanwhile would be rejected as well.
   bool probing() const { return probing_; }
-  /// Bytes of entries that were sent and not acknowledged.
+  /// Bytes of entries that were sent but not acknowledged.
   size_t bytes_in_flight() const { return bytes_in_flight_; }
 
-  /// Nothing is known of it but that it may hold all up to `last`.
+  /// Starts optimistically: assumes that the follower holds all up to `last`.
   void start_after(uint64_t last) { next_ = last + 1; }
-  /// `n` entries of so many bytes were sent.
+  /// `n` entries with `bytes` in total were sent.
   void sent(uint64_t n, size_t bytes);
+  /// The follower's log matches up to `match`.
   void accepted(uint64_t match);
-  /// It refused an append after `previous` (0: not told) and may match at
-  /// `hint`. False for what answers no question that is still open.
+  /// The follower rejected an append after index `previous` (0: unknown) and
+  /// may match at `hint`. Returns false for a stale rejection.
   bool rejected(uint64_t previous, uint64_t hint);
 
  private:
--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -1,6 +1,5 @@
-// At most one box may decide at any time: three replicas whose ticks are the
-// same time for all, cut off from each other, restarted and suspended by
-// chance.
+// At most one box may hold the lease at any time. Three replicas tick at the
+// same times and are partitioned, restarted and suspended at random.
 #include <CppUTest/TestHarness.h>
 
 #include <deque>
@@ -24,16 +23,16 @@
   raft_state disk;
   std::unique_ptr<raft> it;
   std::unique_ptr<leader_lease> lease;
-  // Stands still until then; for how long it did in all.
+  // Suspended until this time, and the total time suspended so far.
   time_point wakes_at{};
   milliseconds suspended{0};
 };
 
-/// What a run plays.
+/// Properties of a run.
 struct lease_options {
   bool delay_first_vote = true;
   bool suspends = false;
-  /// The boxes' clocks count the time for which they were suspended.
+  /// The boxes' clocks advance while a box is suspended.
   bool clock_counts_suspension = true;
 };
 
@@ -52,7 +51,7 @@
     }
   }
 
-  /// Steps in which two boxes could decide.
+  /// Returns the number of steps in which two boxes held the lease.
   unsigned run(unsigned steps) {
     unsigned conflicts = 0;
     for (unsigned i = 0; i < steps; ++i) {
@@ -123,7 +122,7 @@
       for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
     }
     if (options_.suspends && dice >= 20 && dice < 26) suspend_one();
-    // One that wakes up may decide before its first tick.
+    // A box that resumes may decide before its first tick.
     for (unsigned i = 0; i < box_count; ++i) {
       if (now_ <= boxes_[i].wakes_at) continue;
       boxes_[i].lease->before_tick(clock_of(boxes_[i]));
@@ -157,7 +156,7 @@
 
 TEST_GROUP(leader_lease){};
 
-TEST(leader_lease, never_two_that_decide) {
+TEST(leader_lease, at_most_one_box_holds_the_lease) {
   unsigned decided = 0;
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     lease_run run(seed, {});
@@ -167,7 +166,7 @@
   CHECK_TRUE(decided > 300 * 100);
 }
 
-TEST(leader_lease, without_the_quiet_start_two_may_decide) {
+TEST(leader_lease, two_boxes_may_hold_it_without_the_vote_delay_on_start) {
   unsigned conflicts = 0;
   for (uint64_t seed = 1; seed <= 3'000 && conflicts == 0; ++seed) {
     conflicts += lease_run(seed, {.delay_first_vote = false}).run(400);
@@ -175,7 +174,7 @@
   CHECK_TRUE(conflicts > 0);
 }
 
-TEST(leader_lease, never_two_that_decide_though_boxes_are_suspended) {
+TEST(leader_lease, at_most_one_box_holds_it_while_boxes_are_suspended) {
   unsigned decided = 0;
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     lease_run run(seed, {.suspends = true});
@@ -185,8 +184,8 @@
   CHECK_TRUE(decided > 300 * 50);
 }
 
-// By the steady clock, which stands still meanwhile.
-TEST(leader_lease, by_a_clock_that_leaves_suspensions_out_two_may_decide) {
+// A steady clock that stops during a suspension makes an old lease look valid.
+TEST(leader_lease, two_may_hold_it_when_the_clock_stops_in_suspensions) {
   const lease_options options{.suspends = true,
                               .clock_counts_suspension = false};
   unsigned conflicts = 0;
--- a/consensus/leader-lease.h
+++ b/consensus/leader-lease.h
@@ -1,5 +1,5 @@
-// How long a leader may decide without asking: as long as no other replica
-// can have been elected.
+// The leader lease: how long a leader may decide without contacting the other
+// replicas, because none of them can have been elected.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace kestrelreel {
 
-/// A voter that answered a heartbeat votes for nobody else for the least
-/// election time from when it got it, which is after it was sent. So the
-/// leader may decide for that time from when it sent the latest round that a
-/// majority answered, on its own steady clock.
+/// A voter that answers a heartbeat grants no vote for the minimum election
+/// timeout after receiving that heartbeat, which is later than the time of
+/// sending. The lease therefore runs from the time at which the leader sent the
+/// latest round that a majority answered, by the leader's own steady clock.
 class leader_lease {
  public:
-  /// `duration` must be below the least election time by the most that clocks
-  /// drift and timers come early.
+  /// `duration` must be shorter than the minimum election timeout by at least
+  /// the maximum clock drift plus the maximum by which timers fire early.
   explicit leader_lease(milliseconds duration) : duration_(duration) {}
 
-  /// To be called before each tick of the replica with the time by then.
+  /// Must be called before each tick of the replica, with the current time.
   void before_tick(time_point now) { tick_began_ = now; }
-  /// To be called after each tick.
+  /// Must be called after each tick.
   void after_tick(const raft& state);
-  /// True while the replica may decide.
+  /// True while the replica holds the lease.
   bool valid(const raft& state, time_point now);
 
  private:
--- a/consensus/log-store-cut-test.cc
+++ b/consensus/log-store-cut-test.cc
@@ -1,9 +1,10 @@
-// A full disk takes a part of a record, and the cut that should take that part
-// away again finds no room or no free descriptor either. Were that second error
-// told as "disk full", the record would be written again behind its own torn
-// bytes and acknowledged; the next start finds a sound record behind a broken
-// one and refuses the log as corrupt. Nor may a store whose new file can't be
-// opened after a compaction go on with the old one, which has no name any more.
+// A full disk accepts a part of a record, and the truncation of that part fails
+// as well, for lack of space or of a file descriptor. If that second error were
+// reported as "disk full", the record would be written again behind its own
+// torn bytes and acknowledged; the next start would find a valid record behind
+// a broken one and refuse the log as corrupt. Likewise, a store whose new file
+// can't be opened after a compaction must not go on with the old, unlinked
+// file.
 #include <CppUTest/TestHarness.h>
 
 #include <map>
@@ -21,9 +22,9 @@
 
 enum class fault {
   none,
-  // The disk takes half of what is appended.
+  // The disk accepts half of each append.
   append,
-  // The disk takes all that is appended, and then can't sync it.
+  // The disk accepts each append, and the sync fails.
   sync,
   // Files can't be opened.
   open,
@@ -31,8 +32,8 @@
   sync_and_open,
 };
 
-/// A folder in memory that is short of room on request. A file that was
-/// replaced lives on, without a name, for those who have it open.
+/// A folder in memory that runs out of space on request. A replaced file stays
+/// usable, without a name, while it is open.
 class faulty_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override {
@@ -116,7 +117,7 @@
 
 TEST_GROUP(log_store_cut){};
 
-TEST(log_store_cut, full_is_told_only_where_the_store_may_be_used_again) {
+TEST(log_store_cut, disk_full_is_reported_only_while_the_store_stays_usable) {
   struct row {
     write_path by;
     fault what;
@@ -138,7 +139,7 @@
     const absl::Status status = write_by(*store, it.by);
     folder.now = fault::none;
     CHECK_FALSE(status.ok());
-    // Who is told that the disk is full writes it again once there is room.
+    // After "disk full", the caller writes the batch again once space is free.
     const bool reports_full = absl::IsResourceExhausted(status);
     const bool again = reports_full && store->write(batch_of(7, 8)).ok();
     const auto found = log_store::open(folder, self);
--- a/consensus/log-store-faults-test.cc
+++ b/consensus/log-store-faults-test.cc
@@ -1,8 +1,8 @@
-// A compaction on a folder whose sync fails: the new file is renamed over the
-// old one, and then the folder finds no room. Were that taken for "disk full,
-// the old file holds all", the store would go on writing to a file that no name
-// leads to any more: its batches are synced, acknowledged, and gone with the
-// next start. So a full disk may be told only while the old file has its name.
+// A compaction renames the new file over the old one, and then the sync of the
+// folder fails with "no space". If that were reported as "disk full", the store
+// would go on writing to the old, unlinked file: its batches would be synced
+// and acknowledged, but lost at the next start. "Disk full" may therefore be
+// reported only while the old file still has its name.
 #include <CppUTest/TestHarness.h>
 #include <sys/stat.h>
 #include <sys/syscall.h>
@@ -23,13 +23,13 @@
 namespace {
 
 enum class full_target { nothing, file, folder };
-// What `fsync` below finds no room for.
+// The target for which `fsync` below fails with ENOSPC.
 full_target full = full_target::nothing;
 
 }  // namespace
 
-/// Stands in the place of the system's, so that the real folder meets a disk
-/// that is full just there.
+/// Replaces the system's fsync, so that a real folder gets ENOSPC at the chosen
+/// point.
 extern "C" int fsync(int fd) {
   struct stat info {};
   const bool folder = ::fstat(fd, &info) == 0 && S_ISDIR(info.st_mode);
@@ -44,7 +44,7 @@
 
 const box_id self("b0");
 
-/// A folder of the machine, gone with the test.
+/// A folder in the file system, removed after the test.
 class temporary_folder {
  public:
   temporary_folder() {
@@ -91,7 +91,7 @@
   return store.write(batch);
 }
 
-/// The last entry that a new start finds.
+/// Index of the last entry that a restart would find.
 uint64_t last_entry(disk& folder) {
   const auto store = log_store::open(folder, self);
   CHECK_TEXT(store.ok(), store.status().ToString().c_str());
@@ -100,7 +100,7 @@
   return base + state.entries.size();
 }
 
-/// Runs what is queued when told to.
+/// Queues work until `drain` is called.
 class manual_executor final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
@@ -143,7 +143,7 @@
   return members;
 }
 
-/// A record of one replica that compacts after two entries.
+/// The only replica of a record; compacts after two entries.
 struct single_replica {
   explicit single_replica(disk& folder) {
     raft_settings settings;
@@ -176,7 +176,8 @@
 }
 ;
 
-TEST(log_store_faults, full_is_told_only_while_the_old_file_has_its_name) {
+TEST(log_store_faults,
+     disk_full_is_reported_only_while_the_old_file_has_its_name) {
   struct row {
     write_path by;
     full_target at;
@@ -197,7 +198,7 @@
     full = full_target::nothing;
     CHECK_FALSE(status.ok());
     const bool reports_full = absl::IsResourceExhausted(status);
-    // Who is told that the disk is full goes on with this store.
+    // After "disk full", the caller goes on using this store.
     const bool wrote_again = reports_full && store->write(batch_of(7, 8)).ok();
     store.reset();
     folder.reset();
@@ -233,11 +234,11 @@
 }
 
 // A process killed between an append and its sync, or between a rename and the
-// sync of the folder, leaves what the next start reads back from the system's
-// memory. Were that counted as kept, a vote or an acknowledged entry could be
-// gone with the next loss of power. So a start syncs the file and the folder,
-// and is none where that fails.
-TEST(log_store_faults, a_start_counts_only_what_it_could_sync) {
+// sync of the folder, leaves bytes that the next start reads from the page
+// cache. If those counted as durable, a power loss could drop a vote or an
+// acknowledged entry. A start therefore syncs the file and the folder, and
+// fails when a sync fails.
+TEST(log_store_faults, a_start_fails_when_the_log_cannot_be_synced) {
   for (const full_target at : {full_target::file, full_target::folder}) {
     const temporary_folder temporary;
     auto folder = temporary.open();
--- a/consensus/log-store-test.cc
+++ b/consensus/log-store-test.cc
@@ -1,4 +1,4 @@
-// The log's file under torn writes, flipped bytes and foreign folders.
+// The log file under torn writes, flipped bytes and folders of other boxes.
 #include "consensus/log-store.h"
 
 #include <CppUTest/TestHarness.h>
@@ -59,7 +59,7 @@
   CHECK_EQUAL(4, state.entries.size());
 }
 
-TEST(log_store, a_torn_tail_is_cut_at_every_length) {
+TEST(log_store, a_torn_tail_is_dropped_at_every_length) {
   fake_disk folder;
   const std::string whole = three_batches(folder);
   fake_disk empty;
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(log_store, a_flipped_byte_is_never_passed_over) {
+TEST(log_store, a_flipped_byte_is_always_detected) {
   fake_disk folder;
   const std::string whole = three_batches(folder);
   const size_t last = parse_log(whole)->valid_bytes;
@@ -87,13 +87,13 @@
       ++refused;
       continue;
     }
-    // Only the last batch may be taken for one that a crash cut short.
+    // A corrupt last batch looks like one that a crash cut short.
     CHECK_EQUAL(4, log->state.entries.size());
   }
   CHECK_TRUE(refused > whole.size() / 2);
 }
 
-TEST(log_store, refuses_folders_that_are_not_its_own) {
+TEST(log_store, refuses_folders_of_other_boxes) {
   fake_disk folder;
   three_batches(folder);
   const auto other = log_store::open(folder, box_id("b1"));
@@ -117,7 +117,7 @@
   CHECK_EQUAL(7, state.hard.term());
 }
 
-TEST(log_store, a_failed_sync_is_told) {
+TEST(log_store, a_failed_sync_is_reported) {
   for (int operations = 0; operations < 2; ++operations) {
     fake_disk folder;
     auto store = *log_store::create(folder, self, "id", {});
--- a/consensus/log-store.cc
+++ b/consensus/log-store.cc
@@ -12,7 +12,7 @@
 constexpr uint32_t format_version = 1;
 constexpr uint32_t record_magic = 0x6b726c31;
 
-/// What stands before each record's bytes.
+/// Precedes the bytes of each record.
 struct record_prefix {
   uint32_t magic;
   uint32_t length;
@@ -35,7 +35,7 @@
   return out + body;
 }
 
-/// Reads the record at `at`; false when there is no sound one.
+/// Decodes the record at offset `at`; returns false when none is valid there.
 bool decode(std::string_view bytes, size_t at, proto::disk_record& record,
             size_t& end) {
   record_prefix head{};
@@ -116,7 +116,7 @@
     log.valid_bytes = end;
   }
   if (log.valid_bytes == 0) {
-    return absl::DataLossError("log file does not begin with a sound record");
+    return absl::DataLossError("log file does not begin with a valid record");
   }
   if (detail::has_valid_record_after(bytes, log.valid_bytes)) {
     return absl::DataLossError(str_cat(
@@ -172,7 +172,8 @@
 
 absl::Status log_store::reopen(size_t keep) {
   auto file = folder_.open(detail::log_file, keep);
-  // The bytes behind `keep` may stand still, and `file_` have lost its name.
+  // The bytes after `keep` may still be there, and `file_` may be unlinked. A
+  // caller that saw "disk full" would go on using this store.
   if (!file.ok()) return not_full(file.status());
   file_ = std::move(*file);
   size_ = keep;
@@ -190,8 +191,8 @@
   if (status.ok()) status = file_->sync();
   if (status.ok()) size_ += bytes.size();
   if (!absl::IsResourceExhausted(status)) return status;
-  // Cuts off what a full disk took of the record, so that it can be written
-  // again later.
+  // Truncates the part of the record that reached the full disk, so that the
+  // record can be written again later.
   const absl::Status cut = reopen(size_);
   return cut.ok() ? status : cut;
 }
--- a/consensus/log-store.h
+++ b/consensus/log-store.h
@@ -1,5 +1,5 @@
-// A replica's log on its disk: one file of checksummed records, each of which
-// holds what one sync must keep whole.
+// A replica's log on disk: one file of checksummed records. Each record holds
+// the data that one sync must persist atomically.
 #pragma once
 
 #include <atomic>
@@ -16,52 +16,55 @@
 
 namespace kestrelreel {
 
-/// What a log file's bytes hold.
+/// The parsed content of a log file.
 struct parsed_log {
   proto::log_header header;
   raft_state state;
-  /// Length of the sound part; what follows is a record cut short by a crash.
+  /// Length of the valid prefix; a record cut short by a crash may follow.
   size_t valid_bytes = 0;
 };
 
-/// Reads a log file. A record cut short at the end is left out, as no sync of
-/// it can have returned; a broken record before a sound one is `DataLoss`.
+/// Parses a log file. Skips a record cut short at the end, because no sync of
+/// that record can have returned. Returns `DataLoss` for a corrupt record that
+/// precedes a valid one.
 absl::StatusOr<parsed_log> parse_log(const std::string& bytes);
 
-/// The log of one data folder. Calls block until the disk is done.
+/// The log of one data folder. Calls block until the disk operation completes.
 class log_store {
  public:
-  /// Opens the folder's log, or `NotFound` when it holds none. Fails with
-  /// `FailedPrecondition`, changing nothing, on a folder of another box or of
-  /// a newer format, and with `DataLoss` on a corrupt one.
+  /// Opens the folder's log. Fails with `NotFound` when the folder has none,
+  /// with `FailedPrecondition`, changing nothing, when the folder belongs to
+  /// another box or has a newer format, and with `DataLoss` when the log is
+  /// corrupt.
   static absl::StatusOr<std::unique_ptr<log_store>> open(disk& folder,
                                                          const box_id& box);
-  /// Puts an empty log with that identity into a folder that has none.
+  /// Creates an empty log with that identity in a folder without a log.
   static absl::StatusOr<std::unique_ptr<log_store>> create(
       disk& folder, const box_id& box, const std::string& identity,
       const proto::membership& founding);
 
   const std::string& identity() const { return header_.identity(); }
-  /// What `open` found; empties the store's copy.
+  /// Moves out the state that `open` read.
   raft_state take_state() { return std::move(state_); }
 
-  /// Returns once the batch lasts. After `ResourceExhausted` (the disk is
-  /// full) nothing of it stands and it may be written again; after any other
-  /// error the store must not be used.
+  /// Returns once the batch is durable. After `ResourceExhausted` (the disk is
+  /// full) no part of the batch remains, and the caller may write the batch
+  /// again. After any other error the store must not be used.
   absl::Status write(const persist_batch& batch);
-  /// Writes the file anew with the snapshot and the entries that follow it.
-  /// After `ResourceExhausted` the old file is written on; after any other
+  /// Rewrites the file with the snapshot and the entries after the snapshot.
+  /// After `ResourceExhausted` the old file stays in use; after any other
   /// error the store must not be used.
   absl::Status compact(const proto::log_snapshot& snapshot,
                        const std::vector<proto::log_entry>& entries);
-  /// Bytes of the file.
+  /// Size of the file in bytes.
   size_t size() const { return size_.load(); }
 
  private:
   log_store(disk& folder, proto::log_header header, raft_state state);
   absl::Status rewrite(const proto::log_snapshot& snapshot,
                        const std::vector<proto::log_entry>& entries);
-  /// Never fails with `ResourceExhausted`.
+  /// Opens the file and truncates it to `keep` bytes. Never fails with
+  /// `ResourceExhausted`.
   absl::Status reopen(size_t keep);
 
   disk& folder_;
--- a/consensus/power-loss-test.cc
+++ b/consensus/power-loss-test.cc
@@ -1,9 +1,9 @@
-// All boxes lose power at one moment, and as many boxes as may be lost lose
-// their disks as well: just those that hold the entry that was acknowledged
-// last. An entry that was answered for before a majority had synced it would be
-// nowhere then, and so would be one that an emptied box could outvote. All
-// start again: whatever was acknowledged is there, a leader comes up, and the
-// emptied boxes become voters again.
+// All boxes lose power at the same moment, and as many as the cluster tolerates
+// also lose their disks, chosen among the holders of the last acknowledged
+// entry. That entry would be lost if it was acknowledged before a majority had
+// synced it, or if a box with an empty disk could vote. After a restart of all
+// boxes every acknowledged entry must exist, a leader must be elected, and the
+// boxes with empty disks must become voters again.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 constexpr unsigned recovery_steps = 6'000;
 constexpr size_t max_messages = 400;
 
-/// What happened in a run.
+/// Result of a run.
 struct run_outcome {
   std::string violation;
   /// Boxes that had synced the last acknowledged entry.
@@ -47,8 +47,8 @@
           std::make_unique<soak_box>(it, names, options_, random_, *this));
     }
     for (auto& it : boxes_) it->start(true);
-    // Boxes with slow disks lag, so that at times just a majority holds what is
-    // acknowledged.
+    // Boxes with slow disks lag, so that sometimes only a bare majority holds
+    // the acknowledged entries.
     slow_ = random_.below(tolerated_losses() + 1);
     target_acknowledged_ = 5 + random_.below(60);
   }
@@ -63,7 +63,7 @@
       if (just_acknowledged && acknowledged_.size() >= target_acknowledged_)
         break;
     }
-    if (!just_acknowledged) fail("too little was acknowledged");
+    if (!just_acknowledged) fail("too few commands were acknowledged");
     if (no_violation()) lose_power_everywhere();
     if (no_violation()) settle();
     return std::move(outcome_);
@@ -134,7 +134,8 @@
            it->instance().propose(str_cat("c", ++proposals_)).ok();
   }
 
-  /// A leader answers its callers once it has applied their commands.
+  /// Counts commands as acknowledged once the leader has applied them, which is
+  /// when a leader answers its callers.
   void note_acknowledged() {
     const soak_box* it = leader();
     if (it == nullptr) return;
@@ -163,18 +164,18 @@
       outcome_.from_snapshot = outcome_.from_snapshot || it->snapshots() > 0;
       if (it->up()) it->lose_power();
     }
-    // Late messages may come after the start, or not.
+    // Messages in flight may or may not arrive after the restart.
     if (random_.below(2) == 0) network_.clear();
     for (auto& it : boxes_) {
       it->start(false);
       const bool sound = options_.fault == injected_fault::none;
       if (sound && it->applied_index() < it->highest_applied()) {
-        fail(str_cat(it->box(), " starts below its floor"));
+        fail(str_cat(it->box(), " starts below its highest applied index"));
       }
     }
   }
 
-  /// Nobody may lead without the entry that was acknowledged last.
+  /// No box may lead without the last acknowledged entry.
   void check_leaders() {
     for (auto& it : boxes_) {
       const raft& r = it->instance().state();
@@ -187,7 +188,7 @@
     }
   }
 
-  /// No more faults: the boxes must agree on one more command.
+  /// Without further faults, the boxes must agree on one more command.
   void settle() {
     bool asked = false;
     for (unsigned i = 0; i < recovery_steps; ++i) {
@@ -196,18 +197,19 @@
         for (auto& it : boxes_) it->instance().tick();
       }
       for (const auto& m : std::exchange(network_, {})) hand_over(m);
-      // Beyond that, a run with a fault built in has no meaning any more.
+      // A run with a deliberate fault stops at its first violation.
       check_leaders();
       if (!no_violation()) return;
       const bool again = i % 600 == 599;
       if (!asked || again) asked = propose();
       if (i % 100 == 99 && has_recovered()) return check_end();
     }
-    fail(leader() == nullptr ? "no leader came up"
-                             : "the boxes do not agree once all is well");
+    fail(leader() == nullptr ? "no leader was elected"
+                             : "the boxes do not agree after the faults ended");
   }
 
-  /// All boxes hold the last command, and are voters with what they have now.
+  /// True when all boxes hold the last command and are voters with their
+  /// current data folders.
   bool has_recovered() {
     const soak_box* it = leader();
     if (it == nullptr) return false;
@@ -235,7 +237,7 @@
   std::vector<std::unique_ptr<soak_box>> boxes_;
   std::vector<proto::raft_message> network_;
   std::vector<std::string> acknowledged_;
-  // The last command that was applied before the strike.
+  // The last command applied before the power loss.
   proto::log_entry last_;
   bool power_lost_ = false;
   size_t slow_ = 0;
@@ -268,7 +270,7 @@
 
 TEST_GROUP(power_loss){};
 
-TEST(power_loss, what_was_acknowledged_outlives_power_and_the_holders_disks) {
+TEST(power_loss, acknowledged_entries_survive_power_loss_and_lost_disks) {
   for (const row& it : rows) {
     unsigned bare_majority = 0;
     unsigned leaders_emptied = 0;
@@ -286,14 +288,14 @@
       leaders_emptied += result.leader_emptied ? 1 : 0;
       from_snapshot += result.from_snapshot ? 1 : 0;
     }
-    // The hard cases were among them.
+    // The seeds must cover the hard cases.
     CHECK_TRUE(bare_majority >= it.seeds / 10);
     CHECK_TRUE(leaders_emptied >= it.seeds / 10);
     CHECK_TRUE(from_snapshot >= it.seeds / 10);
   }
 }
 
-TEST(power_loss, faults_built_in_on_purpose_are_caught) {
+TEST(power_loss, deliberate_faults_are_detected) {
   for (const row& it : rows) {
     for (const injected_fault fault : {injected_fault::acknowledge_unsynced,
                                        injected_fault::empty_replica_votes}) {
--- a/consensus/quorum.h
+++ b/consensus/quorum.h
@@ -1,4 +1,4 @@
-// Questions about a membership of the replicated log.
+// Queries on a membership of the replicated log.
 #pragma once
 
 #include <cstdint>
@@ -19,17 +19,18 @@
 const proto::replica* find_voter(const proto::membership& members,
                                  const std::string& box);
 
-/// How many voters make a majority.
+/// The number of voters in a majority.
 size_t majority(const proto::membership& members);
 /// True when a majority of the voters satisfies `holds`.
 bool has_majority(const proto::membership& members,
                   const std::function<bool(const proto::replica&)>& holds);
-/// The highest index that a majority of the voters has, by `match`.
+/// The highest index that a majority of the voters holds; `match` gives the
+/// index of one voter.
 uint64_t majority_index(
     const proto::membership& members,
     const std::function<uint64_t(const proto::replica&)>& match);
 
-/// The membership without that box, as voter or learner.
+/// The membership without that box, whether it is a voter or a learner.
 proto::membership without_box(const proto::membership& members,
                               const std::string& box);
 
--- a/consensus/raft-install.cc
+++ b/consensus/raft-install.cc
@@ -1,6 +1,6 @@
-// How a follower that needs more than the log holds gets the leader's
-// snapshot: in parts, a few at a time, so that what shares the connection with
-// them does not wait for the whole state.
+// Sends the leader's snapshot to a follower that needs entries which the log no
+// longer holds. The snapshot goes in parts, a few at a time, so that other
+// messages on the same connection don't wait for the whole state.
 #include <algorithm>
 #include <utility>
 
@@ -8,8 +8,8 @@
 
 namespace kestrelreel {
 
-/// Sends what may be on its way; with `heartbeat` at least an empty part, which
-/// asks how much the follower holds.
+/// Sends parts up to the window. With `heartbeat`, sends at least an empty
+/// part, which asks how much the follower holds.
 void raft::send_install(const std::string& box, follower_progress& it,
                         bool heartbeat) {
   snapshot_transfer& transfer = it.transfer;
@@ -41,7 +41,8 @@
   outgoing_messages_.push_back(std::move(m));
 }
 
-/// A part of a leader's snapshot; the last one installs it.
+/// Handles a part of the leader's snapshot; the last part installs the
+/// snapshot.
 void raft::on_install_part(const proto::raft_message& m) {
   if (role_ != raft_role::follower) become_follower(term_, m.from());
   leader_ = m.from();
--- a/consensus/raft-log.h
+++ b/consensus/raft-log.h
@@ -11,10 +11,11 @@
 
 namespace kestrelreel {
 
-/// Entries by index. The entry at the snapshot's index is known by its term.
+/// Log entries by index. Of the entry at the snapshot's index only the term is
+/// kept.
 class raft_log {
  public:
-  /// An empty log after `snapshot`; null stands for index 0.
+  /// Creates an empty log after `snapshot`; null stands for index 0.
   explicit raft_log(std::shared_ptr<const proto::log_snapshot> snapshot);
 
   uint64_t last_index() const { return base_index_ + entries_.size(); }
@@ -26,25 +27,26 @@
     return snapshot_;
   }
 
-  /// True when the log can tell the term of that index.
+  /// True when the log holds the term of that index.
   bool has_term(uint64_t index) const {
     return index >= base_index_ && index <= last_index();
   }
-  /// Term of a known index.
+  /// Term of an index for which `has_term` is true.
   uint64_t term_at(uint64_t index) const;
-  /// Entry at an index after the snapshot's.
+  /// Entry at an index after the snapshot's index.
   const proto::log_entry& at(uint64_t index) const;
 
   /// Adds the entry that follows the last one.
   void append(proto::log_entry entry);
   /// Drops all entries from `index` on.
   void truncate_from(uint64_t index);
-  /// Drops what the snapshot covers; the rest stays.
+  /// Drops the entries that the snapshot covers and keeps the later ones.
   void compact(std::shared_ptr<const proto::log_snapshot> snapshot);
-  /// Drops everything and starts after the snapshot.
+  /// Drops all entries and restarts after the snapshot.
   void reset(std::shared_ptr<const proto::log_snapshot> snapshot);
 
-  /// True when a log that ends so holds at least what this one holds.
+  /// True when a log whose last entry has this index and term is at least as
+  /// up to date as this log (section 5.4.1 of the Raft paper).
   bool is_up_to_date(uint64_t index, uint64_t term) const;
   /// Entries from `index` on, up to about `max_bytes` but at least one.
   std::vector<proto::log_entry> slice(uint64_t index, size_t max_bytes) const;
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -1,4 +1,4 @@
-// Surplus voters leave, and a full disk is waited out.
+// Membership repair, and a replica whose disk is full or hangs.
 #include <CppUTest/TestHarness.h>
 
 #include <deque>
@@ -43,7 +43,7 @@
         : owner_(owner), name_(std::move(name)) {}
     absl::Status append(std::string_view bytes) override {
       if (owner_.full) {
-        // A part of it is written, as a real disk may do.
+        // A real disk may also write a part of the bytes.
         owner_.files[name_] += bytes.substr(0, bytes.size() / 2);
         return absl::ResourceExhaustedError("full");
       }
@@ -58,7 +58,7 @@
   };
 };
 
-/// Runs work at once.
+/// Queues work until `drain` is called.
 class manual_executor final : public serial_executor {
  public:
   void run(std::function<absl::Status()> work,
@@ -92,7 +92,7 @@
   int failed = 0;
 };
 
-/// Learners are named on from the voters.
+/// Box names count on from the voters to the learners.
 proto::membership members_of(unsigned n, unsigned learners) {
   proto::membership members;
   for (unsigned i = 0; i < n; ++i) {
@@ -108,7 +108,8 @@
   return members;
 }
 
-/// A box of `n` voters: itself, and others that answer while `answers`.
+/// Runs b0, one of `n` voters; the other boxes reply to a message when
+/// `answers` is true for their name.
 struct leader_run {
   leader_run(unsigned n, unsigned target, unsigned learners = 0) : random(7) {
     raft_settings settings;
@@ -163,7 +164,7 @@
 
 TEST_GROUP(raft_members){};
 
-TEST(raft_members, silent_voter_leaves_only_where_there_is_a_surplus) {
+TEST(raft_members, silent_voter_is_removed_only_from_a_surplus) {
   struct row {
     unsigned voters;
     unsigned target;
@@ -181,8 +182,8 @@
   }
 }
 
-TEST(raft_members, every_control_box_voted) {
-  // All learners were promoted, however many voters there were.
+// All learners were promoted, however many voters there were.
+TEST(raft_members, learners_are_promoted_only_up_to_the_target) {
   struct row {
     unsigned voters;
     unsigned learners;
@@ -199,7 +200,7 @@
   }
 }
 
-TEST(raft_members, learner_takes_the_place_of_a_silent_voter) {
+TEST(raft_members, learner_replaces_a_silent_voter) {
   leader_run run(3, 3, 2);
   for (int i = 0; i < 40; ++i)
     run.tick([](const std::string&) { return true; });
@@ -212,7 +213,7 @@
 
 TEST(raft_members, voters_are_spread_over_the_data_centres) {
   leader_run run(3, 5, 6);
-  // b3 to b5 stand with the founders, b6 to b8 elsewhere.
+  // b3 to b5 share the founders' data centres; b6 to b8 are in others.
   const char* places[] = {"x", "y", "z", "x", "y", "z", "u", "v", "v"};
   for (unsigned i = 0; i < 9; ++i) {
     run.it->assign_data_centre(box_id(str_cat("b", i)),
@@ -228,7 +229,8 @@
              (find_voter(members, "b8") != nullptr));
 }
 
-TEST(raft_members, entries_went_to_each_learner_by_themselves) {
+// Each entry went to each learner in a message of its own.
+TEST(raft_members, learners_get_entries_with_heartbeats_only) {
   leader_run run(3, 3, 2);
   const auto all = [](const std::string&) { return true; };
   for (int i = 0; i < 40; ++i) run.tick(all);
@@ -241,11 +243,11 @@
     });
   }
   CHECK_TRUE(sent["b1"] >= 100);
-  // With each second tick a heartbeat, and one answer to it.
+  // One heartbeat every second tick, and one message after its reply.
   CHECK_TRUE(sent["b3"] <= 2 * 50 / 2);
 }
 
-TEST(raft_members, full_disk_is_waited_out) {
+TEST(raft_members, writes_resume_after_a_full_disk) {
   leader_run run(1, 0);
   const auto none = [](const std::string&) { return false; };
   for (int i = 0; i < 40; ++i) run.tick(none);
--- a/consensus/raft-members.cc
+++ b/consensus/raft-members.cc
@@ -1,5 +1,5 @@
-// Who votes and who learns: the leader's view of its followers, and one change
-// of the membership at a time.
+// Membership: the leader's replication state of each follower, and the changes
+// of voters and learners, one at a time.
 #include <algorithm>
 #include <utility>
 
@@ -32,9 +32,9 @@
   return !pending && log_.term_at(commit_) == term_;
 }
 
-/// Repairs the membership one step at a time: a box that lost its data folder
-/// leaves as the old replica, joins as a learner, and votes once it holds the
-/// log.
+/// Repairs the membership one step at a time. Of a box that lost its data
+/// folder, the old replica is removed, the new one joins as a learner, and it
+/// becomes a voter once it has caught up.
 void raft::review_membership() {
   if (!membership_settled()) return;
   if (admit_unknown_replica()) return;
@@ -73,7 +73,7 @@
   return false;
 }
 
-/// True while fewer voters answer than there should be.
+/// True while fewer voters answer than the target.
 bool raft::needs_voter() const {
   if (settings_.target_voters == 0) return true;
   const auto& voters = members().voters();
@@ -86,7 +86,7 @@
   return static_cast<unsigned>(n) < settings_.target_voters;
 }
 
-/// How many voters stand in the box's data centre.
+/// The number of voters in the box's data centre.
 unsigned raft::voters_in_data_centre_of(const std::string& box) const {
   const auto place = data_centres_.find(box);
   if (place == data_centres_.end()) return 0;
@@ -103,8 +103,8 @@
          it.match() >= std::min(commit_, heartbeat_commit_);
 }
 
-/// Of the learners that hold the log one in the data centre with the fewest
-/// voters.
+/// Promotes a learner that has caught up, preferring the data centre with the
+/// fewest voters.
 bool raft::promote_learner() {
   if (!needs_voter()) return false;
   const proto::replica* best = nullptr;
--- a/consensus/raft-replication.cc
+++ b/consensus/raft-replication.cc
@@ -1,4 +1,4 @@
-// The log's side of a replica: appends, snapshots, commits, memberships.
+// Log replication: proposals, appends, snapshots, commits and persistence.
 #include <algorithm>
 #include <numeric>
 #include <utility>
@@ -105,8 +105,8 @@
   leader_ = m.from();
   elapsed_ticks_ = 0;
   const uint64_t index = m.snapshot().index();
-  // A log that holds the snapshot's last entry holds all before it, and may
-  // hold acknowledged ones after it: it stays.
+  // A log that holds the snapshot's last entry also holds all earlier entries,
+  // and may hold acknowledged later ones, so the log is kept.
   const bool held =
       log_.has_term(index) && log_.term_at(index) == m.snapshot().term();
   if (held) commit_ = std::max(commit_, index);
@@ -151,21 +151,23 @@
   }
 }
 
-/// No commit waits for a learner: one that has caught up gets the log with the
-/// heartbeats, so that what an entry costs the leader goes with the voters.
+/// True for a learner that has caught up. No commit depends on a learner, so it
+/// gets new entries with the heartbeats only; the leader's cost per entry then
+/// grows with the number of voters alone.
 bool raft::waits_for_heartbeat(const follower_progress& it) const {
   return it.learner && it.next() > heartbeat_commit_;
 }
 
-/// What a follower may be behind with the log as it comes, however slow its
-/// disk, and no less than what keeps a quick one busy.
+/// Maximum bytes in flight to one follower. The bytes proposed lately may be in
+/// flight however slow the follower's disk is; `settings_.window_bytes` keeps a
+/// fast follower busy.
 size_t raft::window_bytes() const {
-  const size_t lately = std::accumulate(proposed_bytes_.begin(),
+  const size_t recent = std::accumulate(proposed_bytes_.begin(),
                                         proposed_bytes_.end(), size_t{0});
-  return std::max(settings_.window_bytes, lately);
+  return std::max(settings_.window_bytes, recent);
 }
 
-/// True where more of the log may be on its way to the follower.
+/// True when the window allows sending more entries to the follower.
 bool raft::can_send_entries(const follower_progress& it) const {
   return !it.probing() && it.next() <= log_.last_index() &&
          it.next() - it.match() <= settings_.window_entries &&
--- a/consensus/raft-test.cc
+++ b/consensus/raft-test.cc
@@ -1,5 +1,5 @@
-// The consensus code under the faults of seeded runs, and the proof that the
-// runs catch faults.
+// Checks the consensus code in seeded runs with faults, and checks that these
+// runs detect deliberate faults.
 #include <CppUTest/TestHarness.h>
 
 #include "base/text.h"
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(raft, seeded_runs_do_something) {
+TEST(raft, seeded_runs_cover_faults_and_progress) {
   soak_report all;
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     soak_options options;
@@ -49,7 +49,7 @@
   CHECK_EQUAL(a.elections, b.elections);
 }
 
-TEST(raft, deliberate_faults_are_caught) {
+TEST(raft, deliberate_faults_are_detected) {
   constexpr uint64_t seeds = 3'000;
   for (const injected_fault fault :
        {injected_fault::vote_not_synced, injected_fault::acknowledge_unsynced,
@@ -69,7 +69,7 @@
 
 namespace {
 
-/// One replica of three, b0, without any input or output.
+/// The state machine of b0, one of three replicas, without any I/O.
 struct single_replica {
   explicit single_replica(std::string identity = "founder") {
     raft_settings settings;
@@ -86,7 +86,7 @@
     it = std::make_unique<raft>(settings, random, state);
   }
 
-  /// Takes the actions and lets the disk finish at once.
+  /// Takes the actions and completes all writes at once.
   raft_actions settle() {
     raft_actions all;
     for (int i = 0; i < 5; ++i) {
@@ -133,7 +133,8 @@
 
 }  // namespace
 
-// Found by seed 233 of the first seeded runs: "b0 applied another entry 61".
+// A late snapshot that the log already covered dropped acknowledged entries, so
+// that the replica applied a different entry at the same index.
 TEST(raft, late_snapshot_keeps_acknowledged_entries) {
   single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
@@ -146,8 +147,9 @@
   CHECK_EQUAL(3, box.it->commit_index());
 }
 
-// Found by seed 5: a box started below the floor that it had in force.
-TEST(raft, snapshot_is_not_in_force_before_it_lasts) {
+// A snapshot installed before it was durable let a box restart below the index
+// that it had applied.
+TEST(raft, snapshot_is_not_installed_before_it_is_durable) {
   single_replica box;
   box.it->step(snapshot_message(box, 3));
   const raft_actions before = box.it->take_actions();
@@ -157,9 +159,9 @@
   CHECK_TRUE(box.it->take_actions().install != nullptr);
 }
 
-// The commit index lasts before its entries are in force, so that a replica
-// that restarts alone does not fall back.
-TEST(raft, entry_is_not_in_force_before_its_commit_lasts) {
+// The commit index must be durable before its entries are applied, so that a
+// replica that restarts without its peers does not fall back.
+TEST(raft, entry_is_not_applied_before_its_commit_is_durable) {
   single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
   single_replica::add_entry(m, 1);
@@ -172,8 +174,8 @@
   CHECK_EQUAL(1, box.it->take_actions().committed.size());
 }
 
-// Found by seed 345: a learner by an entry that only it had was never heard of
-// again.
+// A replica that became a learner by an entry that no other replica held did
+// not announce itself, and never rejoined.
 TEST(raft, learner_without_leader_announces_itself) {
   single_replica box("other-folder");
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
@@ -205,7 +207,7 @@
 
 }  // namespace
 
-TEST(raft, votes_go_only_to_those_that_hold_the_log) {
+TEST(raft, votes_are_granted_only_to_candidates_that_hold_the_log) {
   const vote_row rows[] = {
       {"as long", proto::raft_vote, 2, 2, 1, "founder", true},
       {"longer", proto::raft_vote, 2, 9, 1, "founder", true},
@@ -238,7 +240,8 @@
   }
 }
 
-// "It neither votes nor counts until caught up."
+// A replica with a new data folder must not count in a majority until it has
+// caught up.
 TEST(raft, votes_of_an_empty_replica_do_not_count) {
   for (const char* identity : {"founder", "new-folder"}) {
     single_replica box;
--- a/consensus/raft.cc
+++ b/consensus/raft.cc
@@ -95,9 +95,9 @@
   announce_self();
 }
 
-/// Tells the boxes with data folders that this replica exists, so that the
-/// leader among them takes it in as a learner. Its own log may call it a
-/// learner already by an entry that a later leader never saw.
+/// Announces this replica to the boxes with data folders, so that the leader
+/// adds it as a learner. A replica that its own log lists as a learner
+/// announces itself too, because a later leader may never have seen that entry.
 void raft::announce_self() {
   for (const box_id& it : settings_.replica_boxes) {
     if (it == settings_.self) continue;
@@ -238,7 +238,7 @@
   }
 }
 
-/// True for what only a leader sends.
+/// True for the kinds of messages that only a leader sends.
 bool raft::is_from_leader(const proto::raft_message& m) {
   return m.kind() == proto::raft_append || m.kind() == proto::raft_install ||
          m.kind() == proto::raft_install_part;
@@ -248,7 +248,8 @@
   become_follower(m.term(), is_from_leader(m) ? m.from() : "");
 }
 
-/// Drops a message of an older term, and tells an old leader of this one.
+/// Returns true for a message of an older term, and tells an outdated leader
+/// the current term.
 bool raft::reject_outdated(const proto::raft_message& m) {
   if (m.term() == term_) return false;
   if (is_from_leader(m)) {
@@ -327,8 +328,8 @@
     }
     const auto it = progress_.find(voter.box());
     if (it == progress_.end()) continue;
-    const bool lately = it->second.silent_ticks <= settings_.election_ticks;
-    if (lately && it->second.match() >= commit_) ++holding;
+    const bool responsive = it->second.silent_ticks <= settings_.election_ticks;
+    if (responsive && it->second.match() >= commit_) ++holding;
   }
   return holding - static_cast<int>(majority(members()));
 }
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -1,8 +1,8 @@
-// One replica of the log as a pure state machine: messages, ticks and disk
-// completions go in, actions come out. No input or output happens inside.
+// One replica of the log as a pure state machine: the owner feeds messages,
+// ticks and disk completions, and takes actions. The class does no I/O.
 // The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, check
 // quorum, leadership transfer, learners and single-step membership changes;
-// docs/design/record.md says why.
+// docs/design/record.md gives the reasons.
 #pragma once
 
 #include <cstdint>
@@ -24,104 +24,110 @@
 
 namespace kestrelreel {
 
-/// What a replica is doing.
+/// Role of a replica.
 enum class raft_role { follower, pre_candidate, candidate, leader };
 
-/// The role as logs and the status show it.
+/// Name of the role in logs and in the status.
 const char* to_string(raft_role role);
 
 /// Fixed properties of a replica.
 struct raft_settings {
   box_id self;
-  /// Identity of the data folder; changes when the folder was lost.
+  /// Identity of the data folder; a box that lost its folder gets a new one.
   std::string identity;
-  /// Least ticks without a leader before an election; the most is twice this.
+  /// Minimum election timeout in ticks; the maximum is twice this value.
   unsigned election_ticks = 10;
   unsigned heartbeat_ticks = 2;
-  /// Entries of one append message, or a part of a snapshot, in bytes.
+  /// Maximum bytes of the entries in one append message, or of one snapshot
+  /// part.
   size_t batch_bytes = 64 << 10;
-  /// What may be sent ahead of the follower's acknowledgement, in bytes (or as
-  /// much as came up within half of an election time, if that is more) and in
-  /// entries. What else goes to its box waits behind that: 10 ms on a link of
-  /// 200 Mbit/s, which carries 32 MB/s so with a way and a sync of 8 ms.
+  /// Maximum bytes in flight to one follower; the window grows to the bytes
+  /// proposed within half an election timeout, if those are more. Other
+  /// messages to the same box queue behind the window: for 10 ms on a link of
+  /// 200 Mbit/s. With 8 ms for the round trip and the sync, the window allows
+  /// 32 MB/s.
   size_t window_bytes = 256 << 10;
+  /// Maximum entries in flight to one follower.
   uint64_t window_entries = 4096;
-  /// Boxes that have a data folder; a replica without members tells them that
-  /// it exists.
+  /// Boxes that have a data folder. A replica that is no voter announces itself
+  /// to these boxes.
   std::vector<box_id> replica_boxes;
-  /// Voters that the cluster should have. While so many answer, learners stay
-  /// learners; a voter that falls silent while there are more leaves for good.
-  /// 0 bounds nothing and never removes one.
+  /// Target number of voters. While that many voters answer, no learner is
+  /// promoted. While there are more, a silent voter is removed permanently.
+  /// 0 sets no bound: every learner is promoted, and no voter is removed.
   unsigned target_voters = 0;
-  /// A replica that starts votes for nobody for the least election time, as it
-  /// has forgotten which leader it answered. Only tests turn it off.
+  /// After a restart, grant no vote for the minimum election timeout, because
+  /// the replica no longer knows which leader it answered. Only tests turn this
+  /// off.
   bool delay_first_vote = true;
-  /// Ticks that a leader's write may take before it hands the leadership on;
-  /// 0 waits for ever.
+  /// Ticks after which a leader with an unfinished write transfers its
+  /// leadership; 0 waits forever.
   unsigned slow_write_ticks = 0;
-  /// Ticks of silence after which a surplus voter leaves.
+  /// Ticks of silence after which a surplus voter is removed.
   unsigned silent_ticks = 20;
 };
 
-/// What a replica finds on its disk when it starts.
+/// Durable state that a replica loads at start.
 struct raft_state {
   proto::hard_state hard;
   std::shared_ptr<const proto::log_snapshot> snapshot;
   std::vector<proto::log_entry> entries;
-  /// Members before any snapshot or membership entry.
+  /// Members before the first snapshot or membership entry.
   proto::membership founding;
 };
 
-/// What must be on the disk before `raft::persisted` is called.
+/// Data that must be durable before `raft::persisted` is called.
 struct persist_batch {
   std::optional<proto::hard_state> hard;
   /// Replaces the whole log.
   std::shared_ptr<const proto::log_snapshot> snapshot;
-  /// An entry replaces the one at its index and all after that.
+  /// Each entry replaces the entry at its index and all later ones.
   std::vector<proto::log_entry> entries;
 };
 
-/// What the owner of a replica has to do next.
+/// Work for the owner of a replica.
 struct raft_actions {
   std::vector<proto::raft_message> messages;
   std::optional<persist_batch> persist;
-  /// To be installed before `committed` is applied.
+  /// Must be installed before `committed` is applied.
   std::shared_ptr<const proto::log_snapshot> install;
   std::vector<proto::log_entry> committed;
 };
 
-/// A replica. Not thread-safe.
+/// The Raft state machine of one replica. Not thread-safe.
 class raft {
  public:
   raft(raft_settings settings, random_source& random, raft_state state);
 
-  /// One step of the replica's clock.
+  /// Advances the replica's clock by one tick.
   void tick();
-  /// A message of another replica. Messages may be lost, repeated or late.
+  /// Handles a message from another replica. Messages may be lost, duplicated
+  /// or delayed.
   void step(const proto::raft_message& m);
-  /// Adds a command; `Unavailable` unless this replica leads.
+  /// Appends a command; `Unavailable` unless this replica leads.
   absl::StatusOr<log_index> propose(std::string payload);
-  /// Adds a membership that differs by one replica from the current one;
-  /// `Unavailable` unless this replica leads, `FailedPrecondition` while an
+  /// Appends a membership that differs from the current one by one replica.
+  /// `Unavailable` unless this replica leads; `FailedPrecondition` while an
   /// earlier change is not committed.
   absl::Status propose_membership(const proto::membership& members);
-  /// Hands leadership to the voter that has most of the log, if it leads, and
-  /// stops leading at once: a hand-over that arrives late may take effect
-  /// whenever it likes.
+  /// Transfers leadership to the responsive voter with the longest matching
+  /// log, and steps down at once, so that a delayed transfer message is
+  /// harmless. Does nothing unless this replica leads.
   void transfer_leadership();
-  /// Boxes that may hold a replica, beside those of the settings.
+  /// Adds a box that may hold a replica to those of the settings.
   void add_replica_box(const box_id& box);
-  /// Where a box stands: voters are spread over the data centres.
+  /// Sets the data centre of a box; voters are spread over the data centres.
   void assign_data_centre(const box_id& box, const data_centre_id& place);
-  /// Takes the actions that have come up. At most one batch is out at a time.
+  /// Returns the pending actions. At most one persist batch is in flight.
   raft_actions take_actions();
-  /// The last batch taken is on the disk.
+  /// The last batch returned by `take_actions` is durable.
   void persisted();
-  /// A snapshot of what `take` has handed out for applying so far; `data` is
-  /// the owner's state after that.
+  /// Makes a snapshot up to the last entry that `take_actions` returned as
+  /// committed; `data` is the owner's state after that entry.
   std::shared_ptr<const proto::log_snapshot> make_snapshot(
       std::string data) const;
-  /// The snapshot is saved; the entries that it covers may go.
+  /// Drops the log entries that the snapshot covers. The file on disk must keep
+  /// these entries until the snapshot is durable.
   void compact(std::shared_ptr<const proto::log_snapshot> snapshot);
 
   raft_role role() const { return role_; }
@@ -133,20 +139,21 @@
   const proto::membership& members() const;
   const raft_log& log() const { return log_; }
   const std::string& identity() const { return settings_.identity; }
-  /// Voters beyond a majority that hold every committed entry and were heard
-  /// lately: how many may be lost with no change refused. -1 unless leading.
+  /// Number of voters that may be lost while commits go on: the responsive
+  /// voters that hold every committed entry, beyond a majority. -1 unless
+  /// leading.
   int losses_survived() const;
-  /// The leader's latest heartbeat round; rises within a term.
+  /// The leader's latest heartbeat round; increases within a term.
   uint64_t round() const { return round_; }
   /// The latest round that a majority of the voters has answered; 0 unless
   /// leading.
   uint64_t quorum_round() const;
   /// True when this replica leads and has applied an entry of its own term, so
-  /// that its state holds all that was ever committed.
+  /// that its state includes every entry ever committed.
   bool is_ready_leader() const;
 
  private:
-  // Elections: raft.cc.
+  // Elections; defined in raft.cc.
   void become_follower(uint64_t term, const std::string& leader);
   void start_election(bool pre_vote, bool transfer);
   void become_leader();
@@ -162,7 +169,8 @@
   void reset_timeout();
   bool is_self_voter() const;
 
-  // Log: raft-replication.cc; members: raft-members.cc.
+  // Log replication, defined in raft-replication.cc, and membership, defined in
+  // raft-members.cc.
   void append_to_log(proto::entry_kind kind, std::string payload);
   void on_append(const proto::raft_message& m);
   void reject_append(const proto::raft_message& m);
@@ -190,7 +198,7 @@
   bool remove_surplus_voter();
   std::optional<persist_batch> next_batch();
 
-  // Snapshots: raft-install.cc.
+  // Snapshot transfer; defined in raft-install.cc.
   void send_install(const std::string& box, follower_progress& it,
                     bool heartbeat);
   void send_part(const std::string& box, const snapshot_transfer& transfer,
@@ -206,7 +214,7 @@
   random_source& random_;
   raft_log log_;
   proto::membership founding_;
-  // Memberships of the log by index, oldest first.
+  // Memberships in the log by index, oldest first.
   std::map<uint64_t, proto::membership> memberships_;
 
   raft_role role_ = raft_role::follower;
@@ -219,35 +227,35 @@
   unsigned elapsed_ticks_ = 0;
   unsigned timeout_ticks_ = 0;
   unsigned heartbeat_elapsed_ticks_ = 0;
-  // Ticks until this replica may vote after its start.
+  // Ticks until this replica may vote after a restart.
   unsigned vote_delay_ticks_ = 0;
   uint64_t round_ = 0;
   std::set<std::string> votes_;
   std::map<std::string, follower_progress> progress_;
   std::map<std::string, std::string> unknown_replicas_;
   std::map<std::string, data_centre_id> data_centres_;
-  // Bytes of the leader's own entries in each of the last ticks.
+  // Bytes proposed in each of the last ticks.
   std::deque<size_t> proposed_bytes_;
-  // What was committed when the last heartbeat went out.
+  // Commit index when the last heartbeat was sent.
   uint64_t heartbeat_commit_ = 0;
 
   bool hard_state_dirty_ = false;
   uint64_t unstable_from_ = 1;
   uint64_t persisted_ = 0;
   uint64_t in_flight_last_index_ = 0;
-  // Commit index handed to the disk, and the one known to last.
+  // Commit index submitted to the disk, and the one known to be durable.
   uint64_t submitted_commit_ = 0;
   uint64_t durable_commit_ = 0;
   bool in_flight_ = false;
-  // A snapshot of the leader is installed only once it is on the disk.
+  // A snapshot from the leader is installed only once it is durable.
   std::shared_ptr<const proto::log_snapshot> unsaved_snapshot_;
   std::shared_ptr<const proto::log_snapshot> in_flight_snapshot_;
   std::shared_ptr<const proto::log_snapshot> snapshot_to_install_;
-  // What has come of a leader's snapshot, and in which term.
+  // Received parts of the leader's snapshot, and the term of that leader.
   std::unique_ptr<proto::log_snapshot> incoming_snapshot_;
   uint64_t incoming_term_ = 0;
   std::vector<proto::raft_message> outgoing_messages_;
-  // Messages that tell of state not yet on the disk.
+  // Messages that reveal state which is not yet durable.
   std::vector<proto::raft_message> unsynced_messages_;
   std::vector<proto::raft_message> in_flight_messages_;
 };
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -1,5 +1,5 @@
-// A proposal that is refused is told to callers as "surely not taken". It may
-// be in no entry of the log, in no message and on no disk, then or later.
+// Callers of a refused proposal are told that it certainly has no effect. Such
+// a proposal must never appear in a log entry, in a message or on a disk.
 #include <CppUTest/TestHarness.h>
 
 #include <deque>
@@ -18,7 +18,7 @@
 constexpr const char* command = "the command that was refused";
 constexpr int settle_ticks = 60;
 
-/// A replica whose messages and writes the test holds.
+/// A replica whose messages and writes the test controls.
 class manual_box final : public replica_callbacks, public serial_executor {
  public:
   explicit manual_box(int voters) {
@@ -65,7 +65,7 @@
     m.set_match(match);
     it->receive(m);
   }
-  /// The leader of its term, its first entry committed.
+  /// Makes the replica the leader of its term with its first entry committed.
   void lead() {
     while (it->state().role() == raft_role::follower) it->tick();
     run_disk();
@@ -119,39 +119,39 @@
     const char* name;
     std::function<void(manual_box&)> before;
   } const rows[] = {
-      {"has just started", [](manual_box&) {}},
-      {"asks for votes",
+      {"just started", [](manual_box&) {}},
+      {"candidate",
        [](manual_box& box) {
          while (box.it->state().role() == raft_role::follower) box.it->tick();
        }},
-      {"hears no majority",
+      {"lost its majority",
        [](manual_box& box) {
          box.lead();
          box.tick(settle_ticks);
        }},
-      {"another leads",
+      {"another leader",
        [](manual_box& box) {
          box.lead();
          box.receive_from_b(proto::raft_append, box.it->state().term() + 1);
        }},
-      {"has handed over",
+      {"transferred leadership",
        [](manual_box& box) {
          box.lead();
          box.it->transfer_leadership();
        }},
-      {"its disk is full",
+      {"full disk",
        [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
          box.run_disk(absl::ResourceExhaustedError("full"));
        }},
-      {"its disk is slow",
+      {"slow disk",
        [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
          for (int i = 0; i < 4; ++i) box.it->tick();
        }},
-      {"its disk has failed",
+      {"failed disk",
        [](manual_box& box) {
          box.lead();
          CHECK_TRUE(box.it->propose("one before").ok());
@@ -170,8 +170,9 @@
   }
 }
 
-// What was taken is found where the rows above look for it.
-TEST(refused_proposal, one_that_is_taken_is_found) {
+// Shows that `holds` finds an accepted command, so that the check above is
+// meaningful.
+TEST(refused_proposal, accepted_proposal_is_found) {
   manual_box box(3);
   box.lead();
   CHECK_TRUE(box.it->propose(command).ok());
@@ -180,9 +181,9 @@
   CHECK_TRUE(box.sent.find(command) != std::string::npos);
 }
 
-// Nobody else can lead: the full disk's own replica keeps what it took, and
-// never says that it did not.
-TEST(refused_proposal, taken_with_a_full_disk_lasts_once_there_is_room) {
+// In a cluster of one voter no other replica can lead, so a replica with a full
+// disk keeps the accepted proposals and never reports them as refused.
+TEST(refused_proposal, accepted_on_a_full_disk_is_applied_once_space_is_free) {
   manual_box box(1);
   while (box.it->state().role() == raft_role::follower) box.it->tick();
   box.run_disk();
--- a/consensus/replica.cc
+++ b/consensus/replica.cc
@@ -107,7 +107,7 @@
     if (alive.expired()) return;
     --writes_in_flight_;
     size_after_compaction_ = store_->size();
-    // The old file still holds all of it; the next compaction tries again.
+    // The old file still holds every entry; the next compaction retries.
     if (absl::IsResourceExhausted(status)) {
       callbacks_.disk_full(status);
       return process_actions();
--- a/consensus/replica.h
+++ b/consensus/replica.h
@@ -1,5 +1,5 @@
-// Joins a replica's state machine with its disk, its peers and the state that
-// the committed entries build up.
+// Connects a replica's state machine with its disk, its peers and the state
+// that the committed entries produce.
 #pragma once
 
 #include <functional>
@@ -13,67 +13,68 @@
 
 namespace kestrelreel {
 
-/// Runs what blocks away from the thread of the decisions.
+/// Runs blocking work on another thread than that of the replica.
 class serial_executor {
  public:
   virtual ~serial_executor() = default;
-  /// Runs `work`, one at a time in the order of the calls, then `done` with
-  /// its result on the thread of the decisions.
+  /// Runs `work`, one at a time in the order of the calls, and then `done` with
+  /// the result of `work` on the replica's thread.
   virtual void run(std::function<absl::Status()> work,
                    std::function<void(absl::Status)> done) = 0;
 };
 
-/// What a replica needs of its process.
+/// Callbacks from a replica to its process.
 class replica_callbacks {
  public:
   virtual ~replica_callbacks() = default;
-  /// Sends a message; it may be lost.
+  /// Sends a message; delivery is not guaranteed.
   virtual void send(const proto::raft_message& m) = 0;
-  /// Puts the snapshot's state in the place of all state so far.
+  /// Replaces the whole state with the snapshot's state.
   virtual void install(const proto::log_snapshot& snapshot) = 0;
   /// Applies the next committed entry.
   virtual void apply(const proto::log_entry& entry) = 0;
-  /// The whole state after the last applied entry.
+  /// Serializes the whole state after the last applied entry.
   virtual std::string save_state() = 0;
-  /// The disk takes no more bytes, or does so again; the replica tries on.
+  /// The disk is full; called for each failed attempt. The replica retries.
   virtual void disk_full(const absl::Status& /*status*/) {}
-  /// The disk failed: the process must end without sending anything more.
+  /// The disk failed. The process must exit without sending another message.
   virtual void disk_failed(const absl::Status& status) = 0;
 };
 
-/// How often a replica writes a snapshot.
+/// Thresholds at which a replica writes a snapshot; one suffices.
 struct compaction_settings {
-  /// Entries since the last snapshot.
+  /// Entries applied since the last snapshot.
   uint64_t entries = 20'000;
-  /// Bytes of the log file since the last snapshot.
+  /// Bytes by which the log file grew since the last snapshot.
   size_t bytes = 64 << 20;
 };
 
-/// A running replica. Not thread-safe; `serial_executor` returns to its thread.
+/// A running replica. Not thread-safe; `serial_executor` runs completions on
+/// the replica's thread.
 class replica {
  public:
   replica(raft_settings settings, random_source& random,
           std::unique_ptr<log_store> store, serial_executor& executor,
           replica_callbacks& callbacks, compaction_settings compaction = {});
 
-  /// One tick of the replica's clock.
+  /// Advances the replica's clock by one tick.
   void tick();
-  /// A message of another replica.
+  /// Handles a message from another replica.
   void receive(const proto::raft_message& m);
-  /// Adds a command to the log; `Unavailable` unless this replica leads.
+  /// Appends a command to the log; `Unavailable` unless this replica leads.
   absl::Status propose(std::string payload);
-  /// Hands leadership on, if this replica leads.
+  /// Transfers leadership to another voter, if this replica leads.
   void transfer_leadership();
 
-  /// Boxes that may hold a replica, beside those of the settings.
+  /// Adds a box that may hold a replica to those of the settings.
   void add_replica_box(const box_id& box) { raft_.add_replica_box(box); }
 
-  /// Where a box stands.
+  /// Sets the data centre of a box.
   void assign_data_centre(const box_id& box, const data_centre_id& place) {
     raft_.assign_data_centre(box, place);
   }
 
-  /// The state machine, for reading.
+  /// Read access to the state machine.
   const raft& state() const { return raft_; }
 
  private:
@@ -91,12 +92,12 @@
   compaction_settings compaction_;
   size_t size_after_compaction_ = 0;
   unsigned writes_in_flight_ = 0;
-  // Ticks since the oldest write under way began.
+  // Ticks with a write in flight since the last batch became durable.
   unsigned write_ticks_ = 0;
-  // A batch that found the disk full; written again at the next tick.
+  // A batch that failed on a full disk; written again at the next tick.
   std::shared_ptr<persist_batch> retry_batch_;
   bool failed_ = false;
-  // A callback of the queue that comes after the replica's end does nothing.
+  // Expires with the replica, so that later completions do nothing.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/consensus/returning-follower-test.cc
+++ b/consensus/returning-follower-test.cc
@@ -1,4 +1,4 @@
-// What a leader sends to followers that were cut off for a while.
+// What a leader sends to followers that return after a network partition.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -17,28 +17,30 @@
 namespace {
 
 constexpr int boxes = 5;
-/// 200 Mbit/s.
+/// A link of 200 Mbit/s.
 constexpr double link_bytes_per_ms = 25'000;
-/// Answers to heartbeats share the connection; those after 450 ms are late.
+/// Heartbeat replies share the connection, and are late after 450 ms.
 constexpr int max_wait_ms = 200;
 constexpr int tick_ms = 100;
-/// Messages of so long wait for a connection that is being made.
+/// Time to connect; messages sent meanwhile are queued.
 constexpr int connect_ms = 700;
 
 struct scenario {
   const char* name;
   int cut_ms;
-  // Boxes that are cut off, of five.
+  // Number of isolated boxes, of five.
   int isolated_boxes;
   size_t entry_bytes;
-  // When the leader compacts its log during the cut, and to how much; 0: never.
+  // When the leader compacts its log during the partition, and the size of the
+  // snapshot; 0: never.
   int compacted_ms = 0;
   size_t state_bytes = 0;
   int latency_ms = 1;
   int sync_ms = 0;
-  // Times that it compacts, as long after each other.
+  // Number of compactions, at equal intervals up to `compacted_ms`.
   int compactions = 1;
-  // Of a link of their own to those that were cut off; 0: the common one.
+  // Rate of a separate link to the isolated boxes; 0: they share the common
+  // link.
   double slow_bytes_per_ms = 0;
 };
 
@@ -48,7 +50,7 @@
   proto::raft_message it;
 };
 
-/// Five replicas on a clock in milliseconds. What b0 sends shares one link.
+/// Five replicas on a millisecond clock. All messages from b0 share one link.
 class cluster {
  public:
   explicit cluster(const scenario& it) : scenario_(it) {
@@ -92,21 +94,22 @@
     for (int i = 0; i < ms; ++i) step();
   }
 
-  /// The leader's log up to here becomes a snapshot.
+  /// Compacts the leader's applied log into a snapshot.
   void compact() {
     const auto snapshot =
         replicas_[0]->make_snapshot(std::string(scenario_.state_bytes, 's'));
     replicas_[0]->compact(snapshot);
   }
 
-  /// These crash, so that the leader needs one that was cut off.
+  /// Crashes these boxes, so that the leader needs an isolated box for a
+  /// majority.
   void crash(int first, int last) {
     for (int i = first; i <= last; ++i) dead_[i] = true;
   }
 
   bool caught_up() const {
     for (int i = 0; i < boxes; ++i) {
-      // What comes up while an entry and its commit are on their way.
+      // Entries proposed while an entry and its commit are in flight.
       constexpr int entry_ms = 15;
       const auto near =
           static_cast<uint64_t>(5 + 4 * scenario_.latency_ms / entry_ms);
@@ -207,7 +210,7 @@
   seeded_random random_{1};
   std::array<std::unique_ptr<raft>, boxes> replicas_;
   std::deque<message_in_flight> in_flight_;
-  // To boxes that are cut off, while a connection is being made.
+  // Messages to isolated boxes, queued while the connection is being made.
   std::map<int, std::vector<proto::raft_message>> queued_;
   int connecting_since_ = 0;
   int first_cut_box_ = boxes;
@@ -234,12 +237,12 @@
 
 TEST_GROUP(returning_follower){};
 
-// A follower that was cut off got its missing log once for each message that
-// had waited for it, and what shared the connection waited for seconds.
-TEST(returning_follower, is_sent_what_it_missed_about_once) {
+// A returning follower got its missing log once per queued message, and other
+// messages on the same connection waited for seconds.
+TEST(returning_follower, gets_the_missed_entries_about_once) {
   constexpr size_t kilobyte = 1'000;
   const scenario rows[] = {
-      {"short cut", 1'000, 2, 10 * kilobyte},
+      {"short partition", 1'000, 2, 10 * kilobyte},
       {"one box for 7 s", 7'000, 1, 10 * kilobyte},
       {"two boxes for 7 s", 7'000, 2, 10 * kilobyte},
       {"two boxes, large entries", 7'000, 2, 40 * kilobyte},
@@ -249,7 +252,7 @@
        16'000 * kilobyte},
       {"two boxes, compacted three times", 7'000, 2, 2 * kilobyte, 6'000,
        4'000 * kilobyte, 1, 0, 3},
-      {"a long way", 7'000, 2, 10 * kilobyte, 0, 0, 20},
+      {"a long latency", 7'000, 2, 10 * kilobyte, 0, 0, 20},
   };
   for (const scenario& it : rows) {
     cluster all(it);
@@ -264,7 +267,8 @@
     all.heal();
     all.pass(5'000);
     CHECK_TEXT(all.caught_up(), str_cat(it.name, ": not caught up").c_str());
-    // Entries come at one in 15 ms; those of 5 s follow the missed ones.
+    // One entry is proposed every 15 ms; those of the 5 s after the partition
+    // follow the missed ones.
     const size_t missed = it.entry_bytes * (it.cut_ms - it.compacted_ms) / 15;
     const size_t later = it.entry_bytes * 5'000 / 15;
     const size_t once = it.isolated_boxes * (missed + later + it.state_bytes);
@@ -273,9 +277,9 @@
   }
 }
 
-// While the voter that a majority needed got a snapshot, no round was answered
-// and the leader could decide nothing.
-TEST(returning_follower, answers_rounds_while_it_gets_a_snapshot) {
+// While a voter that the majority needed received a snapshot, it answered no
+// heartbeat round, so the leader lost its lease.
+TEST(returning_follower, answers_heartbeat_rounds_during_a_snapshot) {
   constexpr int lease_ms = 650;
   for (const int latency : {1, 10, 25}) {
     const scenario it{"a needed voter", 3'000,  1, 1'000, 2'000,
@@ -290,12 +294,12 @@
     all.crash(2, 3);
     all.pass(8'000);
     check_at_most(lease_ms, all.longest_round_ms(), it.name, "round in ms");
-    CHECK_TEXT(all.caught_up(), str_cat("way ", latency).c_str());
+    CHECK_TEXT(all.caught_up(), str_cat("latency ", latency).c_str());
   }
 }
 
-// The bound on what is on its way held up commits where disks are slow.
-TEST(returning_follower, slow_disks_commit_as_much_as_comes) {
+// A fixed bound on the bytes in flight delayed commits when disks were slow.
+TEST(returning_follower, commits_keep_up_on_slow_disks) {
   for (const int sync : {0, 60, 120}) {
     scenario it{"slow disks", 0, 0, 40'000};
     it.sync_ms = sync;
@@ -307,8 +311,8 @@
   }
 }
 
-// Parts went out again while the first ones were still on their way, faster
-// than a slow link carries them.
+// Parts were resent while the first ones were still in flight, faster than a
+// slow link delivers them.
 TEST(returning_follower, gets_a_snapshot_over_a_slow_link) {
   scenario it{"slow link", 2'000, 1, 500, 1'000, 1'000'000};
   it.slow_bytes_per_ms = 60;
--- a/consensus/soak/fake-disk.h
+++ b/consensus/soak/fake-disk.h
@@ -1,4 +1,4 @@
-// A data folder in memory that loses what was not synced when it crashes.
+// A data folder in memory whose crash loses unsynced bytes.
 #pragma once
 
 #include <map>
@@ -10,13 +10,14 @@
 
 namespace kestrelreel {
 
-/// What of a file lasts, and what a crash may take.
+/// The durable bytes of a file, and those that a crash may lose.
 struct fake_file {
   std::string synced;
   std::string unsynced;
 };
 
-/// The folder. One at a time may be open; a crash closes its files.
+/// An in-memory data folder. Only one file may be open at a time; a crash
+/// closes it.
 class fake_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override;
@@ -25,16 +26,17 @@
   absl::Status replace(const std::string& name,
                        std::string_view content) override;
 
-  /// Keeps a random part of what was not synced, the last byte of it perhaps
-  /// flipped, and loses the rest.
+  /// Keeps a random prefix of the unsynced bytes, sometimes with a flipped bit
+  /// in the last byte, and drops the remaining bytes.
   void crash(random_source& random);
-  /// Loses all that was not synced, as with the power.
+  /// Drops all unsynced bytes, as a power loss does.
   void lose_unsynced();
-  /// Loses everything.
+  /// Deletes all files.
   void wipe() { files_->clear(); }
-  /// The next writes and syncs up to that many succeed, then all fail.
+  /// Lets the next `operations` writes and syncs succeed and all later ones
+  /// fail.
   void fail_after(int operations) { operations_left_ = operations; }
-  /// Ends the failures.
+  /// Lets all operations succeed again.
   void heal() { operations_left_ = unlimited; }
   std::map<std::string, fake_file>& files() { return *files_; }
 
--- a/consensus/soak/main.cc
+++ b/consensus/soak/main.cc
@@ -1,4 +1,4 @@
-// Command line of the seeded runs; support/soak calls it.
+// Command line of the seeded runs; called by support/soak.
 #include <docopt/docopt.h>
 
 #include <algorithm>
@@ -22,11 +22,11 @@
   soak record --seed K [--replicas N] [--break NAME]
 
 Options:
-  --seeds N      How many seeds. [default: 1000]
-  --from K       The first of them. [default: 1]
-  --seed K       Just this one, with its figures.
-  --replicas N   3 or 5; by the seed if not given. [default: 0]
-  --break NAME   A fault built in on purpose: vote, ack or empty.
+  --seeds N      Number of seeds. [default: 1000]
+  --from K       First seed. [default: 1]
+  --seed K       Run this seed only and print its statistics.
+  --replicas N   3 or 5; 0 lets the seed decide. [default: 0]
+  --break NAME   A deliberate fault: vote, ack or empty.
 )";
 
 using kestrelreel::injected_fault;
--- a/consensus/soak/soak-box.cc
+++ b/consensus/soak/soak-box.cc
@@ -62,7 +62,7 @@
   return std::move(*log_store::create(disk_, self, identity, {}));
 }
 
-/// The folder's log as if the last vote had not been synced.
+/// Reopens the folder's log as if the last vote had not been synced.
 std::unique_ptr<log_store> soak_box::without_vote(log_store& store) {
   raft_state state = store.take_state();
   auto result = std::move(*log_store::create(disk_, box_id(box_),
@@ -88,11 +88,11 @@
   settings.self = box_id(box_);
   settings.identity = identity_;
   settings.window_entries = 16;
-  // Small, so that entries and snapshots go in several messages.
+  // Small limits, so that entries and snapshots need several messages.
   settings.batch_bytes = 40;
   settings.window_bytes = 160;
-  // The log must be safe without the quiet start, which hides lost votes and
-  // serves the lease alone (leader-lease-test).
+  // The log must be safe without the delay of the first vote, which hides lost
+  // votes and is needed for the lease only (leader-lease-test).
   settings.delay_first_vote = options_.seed % 4 == 0;
   settings.slow_write_ticks = options_.seed % 4 == 1 ? 4 : 0;
   for (const std::string& it : all_) {
--- a/consensus/soak/soak-box.h
+++ b/consensus/soak/soak-box.h
@@ -1,5 +1,5 @@
-// One replica of a seeded run: its disk, its queue of writes, and the state
-// that it built up.
+// One box of a seeded run: its replica, its disk, its queue of writes and the
+// applied state.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,7 @@
 
 namespace kestrelreel {
 
-/// What a node tells the run.
+/// Receives the events of a box.
 class soak_observer {
  public:
   virtual ~soak_observer() = default;
@@ -25,24 +25,24 @@
                          const std::vector<std::string>& state) = 0;
 };
 
-/// A box with a replica that can crash, freeze and lose its data folder.
+/// A box whose replica can crash, stall and lose its data folder.
 class soak_box final : public replica_callbacks, public serial_executor {
  public:
   soak_box(std::string box, std::vector<std::string> all,
            const soak_options& options, random_source& random,
            soak_observer& observer);
 
-  /// Starts the process; `new_cluster` founds the record.
+  /// Starts the process; `new_cluster` creates a new record.
   void start(bool new_cluster);
-  /// Kills the process; writes under way get to a random point.
+  /// Kills the process; a write in flight stops at a random point.
   void crash();
-  /// Ends the process with its box's power: a write under way may have got to
-  /// any point, and of all bytes just the synced ones last.
+  /// Kills the process by a power loss: a write in flight stops at a random
+  /// point, and only synced bytes survive.
   void lose_power();
-  /// Runs the oldest write under way.
+  /// Runs the oldest write in flight.
   void run_disk();
   void wipe();
-  /// Whether that entry would be there after a loss of power.
+  /// True when the entry would survive a power loss.
   bool holds_synced(const proto::log_entry& entry);
 
   bool up() const { return replica_ != nullptr; }
@@ -50,7 +50,7 @@
   const replica& instance() const { return *replica_; }
   const std::string& box() const { return box_; }
   const std::string& identity() const { return identity_; }
-  /// Commands applied, in order; kept over crashes to check the floor.
+  /// Applied commands in order; kept after a crash until the next start.
   const std::vector<std::string>& state() const { return state_; }
   uint64_t applied_index() const { return applied_index_; }
   /// Highest index applied since the data folder was last lost.
--- a/consensus/soak/soak-run.cc
+++ b/consensus/soak/soak-run.cc
@@ -53,7 +53,7 @@
     const auto [it, fresh] = committed_.try_emplace(entry.index(), entry);
     const bool same = it->second.term() == entry.term() &&
                       it->second.payload() == entry.payload();
-    if (!same) fail(str_cat(box, " applied another entry ", entry.index()));
+    if (!same) fail(str_cat(box, " applied a different entry ", entry.index()));
   }
 
   void installed(const std::string& box, uint64_t index,
@@ -65,7 +65,7 @@
       wanted.push_back(entry.payload());
     }
     if (state != wanted) {
-      fail(str_cat(box, " installed another state at ", index));
+      fail(str_cat(box, " installed a different state at ", index));
     }
   }
 
@@ -100,7 +100,7 @@
     if (it.up()) it.run_disk();
   }
 
-  /// Takes any message on its way; some are lost, some come twice.
+  /// Delivers a random message in flight; some are lost, some duplicated.
   void deliver() {
     if (network_.empty()) return;
     const size_t i = random_.below(network_.size());
@@ -141,7 +141,8 @@
     if (it->instance().propose(text).ok()) note_acknowledged();
   }
 
-  /// A leader answers its callers once it has applied their commands.
+  /// Counts commands as acknowledged once the leader has applied them, which is
+  /// when a leader answers its callers.
   void note_acknowledged() {
     const soak_box* it = leader();
     if (it == nullptr) return;
@@ -167,13 +168,13 @@
     it.start(false);
     const uint64_t now = it.applied_index();
     if (options_.fault == injected_fault::none && now < it.highest_applied()) {
-      fail(str_cat(it.box(), " starts at ", now, ", below its floor ",
-                   it.highest_applied()));
+      fail(str_cat(it.box(), " starts at ", now,
+                   ", below its highest applied index ", it.highest_applied()));
     }
   }
 
-  /// Loses a data folder where enough voters keep theirs for the record to
-  /// live on.
+  /// Wipes a data folder, but only while all boxes are up and are voters, so
+  /// that the record survives.
   void lose_folder() {
     soak_box& it = random_box();
     for (auto& member : boxes_) {
@@ -185,8 +186,8 @@
     ++report_.wipes;
   }
 
-  /// True when every box is a voter with its present folder, by that node's
-  /// log.
+  /// True when, by that box's log, every box is a voter with its current data
+  /// folder.
   bool knows_all_voters(soak_box& member) const {
     const proto::membership& members = member.instance().state().members();
     for (const auto& it : boxes_) {
@@ -212,7 +213,7 @@
     if (!cut_.empty()) cut_.erase(cut_.begin());
   }
 
-  /// Hands over as the code does, or lets others contest the next term.
+  /// Transfers leadership, or lets two other replicas contest the next term.
   void transfer_or_contest_leadership() {
     soak_box* it = leader();
     if (it == nullptr) return;
@@ -220,15 +221,16 @@
     contest_term(*it);
   }
 
-  /// Two replicas stand in one term, and the third crashes between their
-  /// requests: more than the code lets happen, as a leader stops leading with
-  /// its hand-over. The one vote must stand all the same.
+  /// Two replicas become candidates in one term, and the third crashes between
+  /// their vote requests. The production code doesn't produce this case,
+  /// because a leader steps down when it transfers its leadership; the vote
+  /// must be durable all the same.
   void contest_term(soak_box& old) {
     std::vector<soak_box*> others;
     const uint64_t last = old.instance().state().log().last_index();
     for (auto& it : boxes_) {
       if (it.get() == &old || !it->up()) continue;
-      // One that lacks an entry would get no vote.
+      // A candidate that lacks an entry would get no vote.
       if (it->instance().state().log().last_index() != last) continue;
       others.push_back(it.get());
     }
@@ -290,8 +292,8 @@
     }
   }
 
-  /// All faults end; the replicas must agree, hold all that was acknowledged,
-  /// and accept a new command.
+  /// Ends all faults. The replicas must then agree, hold every acknowledged
+  /// command and accept a new command.
   void settle() {
     cut_.clear();
     for (auto& it : boxes_) {
@@ -334,7 +336,7 @@
     return !state.empty() && state.back() == str_cat("c", proposals_);
   }
 
-  /// Each replica in a few words, for a failure's text.
+  /// Summary of each replica, for failure texts.
   std::string describe() {
     std::string out;
     for (auto& it : boxes_) {
@@ -350,7 +352,8 @@
 
   void check_end() {
     if (!agreed()) {
-      return fail("the replicas do not agree once all is well:" + describe());
+      return fail("the replicas do not agree after all faults ended:" +
+                  describe());
     }
     const auto& state = boxes_[0]->state();
     const std::set<std::string> held(state.begin(), state.end());
--- a/consensus/soak/soak-run.h
+++ b/consensus/soak/soak-run.h
@@ -1,7 +1,8 @@
-// Seeded runs of the real consensus and storage code in one process: replicas
-// on fake disks, a network that loses, repeats and reorders, crashes at every
-// step of a write, lost data folders, cuts in either direction. After every
-// step the invariants are checked. One seed always gives the same run.
+// Seeded runs of the production consensus and storage code in one process:
+// replicas on fake disks; a network that loses, duplicates and reorders
+// messages; crashes at every step of a write; lost data folders; and one-way
+// partitions. The invariants are checked after every step. A seed determines
+// the whole run.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +19,18 @@
 
 namespace kestrelreel {
 
-/// Faults built in on purpose, to show that the invariants catch them.
+/// Deliberate faults, which show that the invariant checks detect them.
 enum class injected_fault {
   none,
-  /// A vote counts before it lasts, and is lost by a crash.
+  /// A vote is sent before it is durable, and a crash loses it.
   vote_not_synced,
-  /// Entries are acknowledged before they last.
+  /// Entries are acknowledged before they are durable.
   acknowledge_unsynced,
-  /// A box with a lost data folder goes on as the replica that it was.
+  /// A box that lost its data folder keeps its old replica identity.
   empty_replica_votes,
 };
 
-/// What a run is to be like.
+/// Parameters of a run.
 struct soak_options {
   uint64_t seed = 1;
   unsigned replicas = 3;
@@ -37,9 +38,9 @@
   injected_fault fault = injected_fault::none;
 };
 
-/// What a run found and how much happened in it.
+/// Result and statistics of a run.
 struct soak_report {
-  /// The first invariant that did not hold; empty when all did.
+  /// The first violated invariant; empty when all held.
   std::string violation;
   unsigned step = 0;
   uint64_t committed = 0;
