--- a/record/box-table-test.cc
+++ b/record/box-table-test.cc
@@ -20,7 +20,7 @@
 
 TEST_GROUP(box_table){};
 
-TEST(box_table, silence_counts_sooner_nearby) {
+TEST(box_table, local_boxes_time_out_sooner) {
   struct {
     const char* box;
     int64_t silent_ms;
@@ -44,7 +44,7 @@
   CHECK_FALSE(table.live(box_id("a2")));
 }
 
-TEST(box_table, an_older_incarnation_is_not_listened_to) {
+TEST(box_table, an_older_incarnation_is_ignored) {
   virtual_clock clock;
   box_table table(box_id("a1"), entries, clock);
   proto::box_digest digest;
@@ -55,7 +55,7 @@
   CHECK_EQUAL(7, table.view(box_id("a2")).digest.version_in_force());
 }
 
-TEST(box_table, a_stopping_box_serves_no_more) {
+TEST(box_table, a_stopping_box_does_not_serve) {
   virtual_clock clock;
   box_table table(box_id("a1"), entries, clock);
   table.record_heartbeat(box_id("a2"), 1, {});
--- a/record/box-table.h
+++ b/record/box-table.h
@@ -22,7 +22,7 @@
   bool replica = false;
 };
 
-/// What a box last told of itself.
+/// The latest heartbeat of a box.
 struct box_view {
   uint64_t incarnation = 0;
   time_point last_heard{};
@@ -30,17 +30,18 @@
   proto::box_digest digest;
 };
 
-/// The boxes of the cluster and what is known of each.
+/// The boxes of the cluster and the latest heartbeat of each.
 class box_table {
  public:
-  /// A box silent for this long counts as dead, in this box's data centre and
-  /// in others: the nearer the box, the more depends on knowing.
+  /// Silence after which a box counts as dead, in this box's data centre and in
+  /// other data centres. The local timeout is shorter because more depends on
+  /// detecting the loss of a box nearby.
   static constexpr milliseconds local_timeout{2'000};
   static constexpr milliseconds remote_timeout{6'000};
 
   box_table(box_id self, std::vector<box_entry> boxes, clock_source& clock);
 
-  /// Notes a heartbeat; one of an older incarnation is ignored.
+  /// Records a heartbeat; ignores one of an older incarnation.
   void record_heartbeat(const box_id& box, uint64_t incarnation,
                         const proto::box_digest& digest);
 
@@ -48,14 +49,16 @@
   const std::vector<box_entry>& boxes() const { return boxes_; }
   /// The entry of a box; null for an unknown one.
   const box_entry* find(const box_id& box) const;
+  /// The latest heartbeat of a box; empty for an unknown box.
   const box_view& view(const box_id& box) const;
-  /// True for this box and for those heard lately.
+  /// True for this box, and for a box whose last heartbeat is within its
+  /// timeout.
   bool live(const box_id& box) const;
   /// True for boxes of this box's data centre.
   bool is_local(const box_id& box) const;
   /// The boxes of a data centre, in the order of the settings.
   std::vector<box_id> in_data_centre(const data_centre_id& it) const;
-  /// Those of them that are live and not about to stop.
+  /// The boxes of a data centre that are live and not stopping.
   std::vector<box_id> serving_in(const data_centre_id& it) const;
   /// The data centre of this box.
   const data_centre_id& own_data_centre() const;
--- a/record/feed-choice-test.cc
+++ b/record/feed-choice-test.cc
@@ -1,4 +1,4 @@
-// Which boxes a box without a replica asks when those it asked don't answer.
+// Which sources a box without a replica tries when a source doesn't answer.
 #include <CppUTest/TestHarness.h>
 
 #include <set>
@@ -39,7 +39,8 @@
   return all;
 }
 
-/// The boxes that are asked for so long while all live and none answers.
+/// The sources that are tried within `length` while all boxes are live and none
+/// answers.
 std::vector<box_id> asked_in(const scenario& it, milliseconds length) {
   virtual_clock clock;
   const std::vector<box_entry> entries = entries_of(it);
@@ -62,8 +63,8 @@
 
 TEST_GROUP(feed_choice){};
 
-// Two silent boxes were asked by turns, and a third one never.
-TEST(feed_choice, each_box_has_its_turn) {
+// Two silent sources were tried alternately, and a third one never.
+TEST(feed_choice, each_source_is_tried_once_per_round) {
   const scenario rows[] = {
       {"one", 1, 0, 0},
       {"two near", 2, 0, 0},
@@ -71,24 +72,24 @@
       {"three far", 0, 3, 0},
       {"one near, two far", 1, 2, 0},
       {"one of each", 1, 1, 1},
-      {"boxes alone", 0, 0, 4},
-      {"more than a long service takes", 3, 9, 3},
+      {"no replicas", 0, 0, 4},
+      {"a round longer than the stable service time", 3, 9, 3},
   };
   for (const scenario& it : rows) {
     const size_t n = it.near_replicas + it.far_replicas + it.near_boxes;
-    // Each is given up after 1.5 s, at the next ask that is due.
+    // A source is given up at the first request that is due after 1.5 s.
     const auto asked = asked_in(it, milliseconds(2'100 * n));
     const std::set<box_id> distinct(asked.begin(), asked.end());
     CHECK_TEXT(
         distinct.size() == n,
         str_cat(it.name, ": asked ", distinct.size(), " of ", n).c_str());
-    // A round is over before any is asked again.
+    // No source is tried twice in one round.
     const std::set<box_id> round(asked.begin(), asked.begin() + n);
     CHECK_TEXT(round.size() == n, it.name);
   }
 }
 
-TEST(feed_choice, the_nearest_comes_first) {
+TEST(feed_choice, local_replicas_are_tried_first) {
   const auto asked = asked_in({"", 1, 1, 1}, milliseconds(6'300));
   CHECK_TRUE(asked.size() >= 3);
   STRCMP_EQUAL("near0", asked[0].str().c_str());
--- a/record/feed-progress.cc
+++ b/record/feed-progress.cc
@@ -5,12 +5,13 @@
 namespace kestrelreel {
 namespace detail {
 
-/// On a link of 200 Mbit/s what else goes to the box waits 10 ms behind it.
+/// Maximum bytes in flight to one subscriber. On a link of 200 Mbit/s, other
+/// messages to the same box wait 10 ms behind the window.
 constexpr size_t window_bytes = 256 << 10;
 constexpr milliseconds min_retry_delay{1'000};
 constexpr milliseconds max_retry_delay{16'000};
 constexpr unsigned max_doublings = 2;
-/// The slowest link that is waited for.
+/// Slowest link for which the retry delay allows the bytes in flight to arrive.
 constexpr size_t min_link_bytes_per_ms = 200;
 
 }  // namespace detail
@@ -37,7 +38,7 @@
   const bool went_back = at < acknowledged_;
   if (at > acknowledged_) advance(at, now);
   if (!went_back && in_flight_.empty()) return;
-  // A number that was not reached is from an earlier life of this box.
+  // A number above `number_` is from an earlier incarnation of this box.
   const bool later_arrived = !in_flight_.empty() &&
                              in_flight_.front().number <= seen &&
                              seen <= number_;
--- a/record/feed-progress.h
+++ b/record/feed-progress.h
@@ -1,5 +1,5 @@
-// What a source of entries knows of one subscriber, and what is on its way
-// there.
+// Progress of one feed subscriber: the acknowledged position, and the messages
+// in flight.
 #pragma once
 
 #include <compare>
@@ -12,31 +12,35 @@
 
 namespace kestrelreel {
 
-/// How far a box is: the last entry, and bytes of a snapshot that follows it.
+/// Position of a box: the last applied entry, and the bytes received of a later
+/// snapshot.
 struct feed_position {
   uint64_t applied = 0;
   uint64_t snapshot_bytes = 0;
   auto operator<=>(const feed_position&) const = default;
 };
 
-/// A subscriber tells what it holds, and never what is still on its way to it.
+/// Flow control for one subscriber. The subscriber reports only its received
+/// position, so the source tracks the messages in flight.
 class feed_progress {
  public:
-  /// What needs no sending now.
+  /// The position up to which all data was sent.
   const feed_position& sent() const { return sent_; }
-  /// False while as much is on its way as may be.
+  /// True while the window allows another message.
   bool can_send() const;
-  /// True when the subscriber should tell what it holds before its next ask is
-  /// due, so that more may go.
+  /// True when the subscriber should acknowledge at once, before its next
+  /// request is due, so that the window opens earlier.
   bool wants_acknowledgement() const;
 
-  /// What goes up to `last` was sent, of so many bytes.
+  /// A message of `bytes` that ends at position `last` was sent.
   void note_sent(const feed_position& last, size_t bytes, time_point now);
-  /// Number of the last message that was sent, from 1 on.
+  /// Number of the last message sent; the first message is 1.
   uint64_t number() const { return number_; }
-  /// It holds all up to `at` after message `seen` came (0: not told). What is
-  /// on its way counts as lost when a later message came without it, or the
-  /// subscriber has begun anew or not moved on for a time that doubles.
+  /// The subscriber reports position `at`, with `seen` the number of the last
+  /// message that it received (0: unknown). Messages in flight count as lost
+  /// when a later message was received without them, or when the subscriber
+  /// went back or made no progress for the retry delay, which doubles with each
+  /// resend.
   void on_report(const feed_position& at, uint64_t seen, time_point now);
 
  private:
@@ -54,7 +58,7 @@
   uint64_t number_ = 0;
   std::deque<sent_message> in_flight_;
   size_t bytes_in_flight_ = 0;
-  // Since when it has not moved on, though something is on its way.
+  // Time of the last progress while messages are in flight.
   time_point stalled_since_{};
   std::optional<time_point> resumed_at_;
   unsigned repeats_ = 0;
--- a/record/feed-test.cc
+++ b/record/feed-test.cc
@@ -1,5 +1,5 @@
-// Boxes without a replica get all committed entries, whatever is lost on the
-// way, and never fall back.
+// Boxes without a replica receive all committed entries despite lost messages,
+// and their state never goes back.
 #include "record/feed.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,7 +23,8 @@
   proto::peer_message m;
 };
 
-/// Box `r` has the replica; `e` is fed; `f` is fed and may feed `e`.
+/// Box `r` has the replica; `e` and `f` subscribe, and may also feed each
+/// other.
 struct feed_world {
   std::vector<box_entry> entries{{box_id("r"), data_centre_id("d"), "", true},
                                  {box_id("e"), data_centre_id("d"), "", false},
@@ -110,7 +111,7 @@
 
 TEST_GROUP(feed){};
 
-TEST(feed, entries_arrive_whatever_is_lost) {
+TEST(feed, entries_arrive_despite_lost_messages) {
   for (const unsigned loss : {0u, 10u, 50u}) {
     feed_world world;
     uint64_t last = 0;
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -1,4 +1,5 @@
-// What a source sends to a subscriber behind a slow link, whatever it asks.
+// How much a source sends to a subscriber behind a slow link, for any pattern
+// of requests.
 #include <CppUTest/TestHarness.h>
 
 #include <algorithm>
@@ -21,29 +22,31 @@
 
 constexpr size_t kilobyte = 1'000;
 constexpr int tick_ms = 100;
-/// What may be sent on top of what is owed.
+/// Bytes that may be sent in excess of the missing bytes.
 constexpr size_t window = 600 * kilobyte;
-/// What waits for a subscriber that does not get on, entries or snapshot parts.
+/// Bound on the bytes in flight to a subscriber without progress.
 constexpr size_t max_unacknowledged = 300 * kilobyte;
 
 struct scenario {
   const char* name;
-  // What the link carries; 0: nothing arrives.
+  // Rate of the link; 0: nothing arrives.
   int bytes_per_ms;
   int seconds;
-  // What the subscriber lacks, in entries, or with `snapshot` in the state.
+  // Entries that the subscriber lacks; with `snapshot`, they are sent as a
+  // snapshot.
   size_t entries;
   size_t entry_bytes;
   bool snapshot;
-  // How often its last ask comes again; 0: never.
+  // Interval at which the last request is duplicated; 0: never.
   int repeat_ms = 0;
-  // How long asks are held up, to arrive all at once.
+  // Interval at which delayed requests arrive, all at once; 0: no delay.
   int request_delay_ms = 0;
-  // Of 100 messages.
+  // Lost messages, in percent.
   unsigned loss_percent = 0;
-  // It asks at its own times alone, and takes a state whole.
+  // The subscriber only sends requests at its own interval and doesn't support
+  // snapshot parts.
   bool earlier_version = false;
-  // There is another live box, which never answers.
+  // A second live source exists, and never answers.
   bool other_source = false;
 };
 
@@ -176,28 +179,30 @@
 
 TEST_GROUP(feed_window){};
 
-// Each ask sent all that was owed again, however much was on its way.
-TEST(feed_window, a_slow_subscriber_is_sent_what_it_lacks_about_once) {
+// Each request caused all missing data to be sent again, although it was
+// already in flight.
+TEST(feed_window, a_slow_subscriber_gets_missing_data_about_once) {
   const scenario rows[] = {
       {"snapshot", 1'000, 10, 700, kilobyte, true},
       {"snapshot, slow", 200, 20, 700, kilobyte, true},
-      {"snapshot, asks come again", 200, 20, 700, kilobyte, true, 100},
-      {"snapshot, asks together", 200, 30, 700, kilobyte, true, 0, 2'000},
-      {"snapshot, asks after the subscription", 200, 40, 700, kilobyte, true, 0,
-       5'000},
+      {"snapshot, duplicate requests", 200, 20, 700, kilobyte, true, 100},
+      {"snapshot, requests in bursts", 200, 30, 700, kilobyte, true, 0, 2'000},
+      {"snapshot, requests after the subscription timeout", 200, 40, 700,
+       kilobyte, true, 0, 5'000},
       {"large snapshot", 1'000, 60, 15'000, kilobyte, true},
-      {"snapshot, another box", 200, 20, 700, kilobyte, true, 0, 0, 0, false,
+      {"snapshot, another source", 200, 20, 700, kilobyte, true, 0, 0, 0, false,
        true},
-      {"large snapshot, another box", 1'000, 60, 15'000, kilobyte, true, 0, 0,
-       0, false, true},
-      {"entries, another box", 200, 60, 3'000, kilobyte, false, 0, 0, 0, false,
-       true},
-      {"late asks, another box", 200, 40, 700, kilobyte, true, 0, 5'000, 0,
+      {"large snapshot, another source", 1'000, 60, 15'000, kilobyte, true, 0,
+       0, 0, false, true},
+      {"entries, another source", 200, 60, 3'000, kilobyte, false, 0, 0, 0,
        false, true},
+      {"late requests, another source", 200, 40, 700, kilobyte, true, 0, 5'000,
+       0, false, true},
       {"entries", 1'000, 20, 3'000, kilobyte, false},
       {"entries, slow", 200, 60, 3'000, kilobyte, false},
-      {"entries, asks come again", 200, 60, 3'000, kilobyte, false, 100},
-      {"entries, asks together", 400, 60, 3'000, kilobyte, false, 0, 2'000},
+      {"entries, duplicate requests", 200, 60, 3'000, kilobyte, false, 100},
+      {"entries, requests in bursts", 400, 60, 3'000, kilobyte, false, 0,
+       2'000},
       {"small entries", 1'000, 20, 15'000, 100, false},
       {"snapshot, earlier version", 200, 20, 700, kilobyte, true, 0, 0, 0,
        true},
@@ -208,24 +213,26 @@
     slow_feed feed(it);
     feed.pass(it.seconds * 1'000);
     CHECK_TEXT(feed.caught_up(), str_cat(it.name, ": not caught up").c_str());
-    // Small entries have as much again of numbers around them.
+    // Each entry has an overhead of up to 60 bytes, which matters for small
+    // ones.
     const size_t overhead = it.entries * 60;
-    // Asks that are older than what is sent is waited for cost a window each.
+    // Requests that arrive after the retry delay cost an extra window.
     const size_t late_requests = it.request_delay_ms > 2'000 ? window : 0;
     check_sent_at_most(feed.missing_bytes() + overhead + window + late_requests,
                        feed.sent(), it);
   }
 }
 
-// A subscriber that did not get on was sent 0.5 MB or the state at each ask.
-TEST(feed_window, what_waits_for_one_that_does_not_get_on_is_bounded) {
+// A subscriber without progress was sent 0.5 MB or the whole state at each
+// request.
+TEST(feed_window, data_in_flight_without_progress_is_bounded) {
   const scenario rows[] = {
       {"entries for 3 s", 0, 3, 3'000, kilobyte, false},
-      {"entries, asks come again", 0, 3, 3'000, kilobyte, false, 100},
+      {"entries, duplicate requests", 0, 3, 3'000, kilobyte, false, 100},
       {"small entries", 0, 3, 25'000, 80, false},
-      {"more entries than are kept", 0, 3, 50'000, 80, false},
+      {"more entries than the source keeps", 0, 3, 50'000, 80, false},
       {"snapshot", 0, 3, 700, kilobyte, true},
-      {"snapshot, asks come again", 0, 3, 700, kilobyte, true, 100},
+      {"snapshot, duplicate requests", 0, 3, 700, kilobyte, true, 100},
       {"large snapshot", 0, 3, 15'000, kilobyte, true},
   };
   for (const scenario& it : rows) {
@@ -237,7 +244,7 @@
   }
 }
 
-TEST(feed_window, what_is_lost_comes_again) {
+TEST(feed_window, lost_data_is_sent_again) {
   const scenario rows[] = {
       {"entries", 1'000, 60, 1'000, kilobyte, false, 0, 0, 20},
       {"snapshot", 1'000, 60, 700, kilobyte, true, 0, 0, 20},
--- a/record/feed.cc
+++ b/record/feed.cc
@@ -8,10 +8,12 @@
 
 constexpr milliseconds request_interval{500};
 constexpr milliseconds subscription_timeout{3'000};
-/// What is on its way to a box whose asks come late must not be sent anew.
+/// Keeps the progress of a silent subscriber, because data in flight to a box
+/// whose requests arrive late must not be sent again.
 constexpr milliseconds subscriber_retention{30'000};
 constexpr milliseconds source_timeout{1'500};
-/// A source that served so long ends the round in which each has its turn.
+/// After a source served for this long, the round in which each source is tried
+/// once starts over.
 constexpr milliseconds stable_service_time{10'000};
 constexpr size_t max_recent_bytes = 4 << 20;
 constexpr size_t max_message_bytes = 64 << 10;
@@ -50,7 +52,7 @@
     it.snapshot.reset();
   }
   if (send_after(from, it)) return;
-  // A source that does not answer is given up.
+  // Replies even without new entries, because the box gives up a silent source.
   proto::peer_message m;
   m.mutable_fed()->set_applied(it.progress.sent().applied);
   m.mutable_fed()->set_leader(leader);
@@ -72,8 +74,8 @@
   }
 }
 
-/// Sends what the subscriber lacks, as far as it may be on its way; false for
-/// nothing.
+/// Sends missing entries as far as the window allows; returns false when
+/// nothing was sent.
 bool feed_source::send_after(const box_id& to, subscriber& it) {
   bool sent = false;
   while (it.progress.sent().applied < state_.applied() &&
@@ -114,14 +116,14 @@
   send_(to, std::move(m));
 }
 
-/// True when all entries after `index` can be given.
+/// True when all entries after `index` are available.
 bool feed_source::has_entries_after(uint64_t index) const {
   if (index == state_.applied()) return true;
   return !recent_.empty() && recent_.front().index() <= index + 1;
 }
 
-/// Adds the next part of a snapshot, or a whole one for a box that takes no
-/// parts. Returns where the box is when it has that.
+/// Adds the next part of a snapshot, or the whole snapshot for a box that
+/// doesn't support parts. Returns the position of the box after that message.
 feed_position feed_source::add_snapshot(subscriber& it,
                                         proto::feed_reply& reply) {
   const feed_position at = it.progress.sent();
@@ -151,7 +153,8 @@
 std::shared_ptr<const feed_snapshot> feed_source::take_snapshot() {
   auto latest = latest_snapshot_.lock();
   if (latest && latest->content.index() == state_.applied()) return latest;
-  // Parts that a box holds from an earlier life of this one fit no later one.
+  // Transfer ids start at the current time, so that parts from an earlier
+  // incarnation of this box never match a later snapshot.
   if (last_transfer_id_ == 0)
     last_transfer_id_ = static_cast<uint64_t>(clock_.now().count()) << 20;
   auto it = std::make_shared<feed_snapshot>();
@@ -194,8 +197,8 @@
   send_(source_, std::move(m));
 }
 
-/// True when another live box has long been ahead of this one, which then has
-/// a source that is cut off itself.
+/// True when another live box has been ahead of this one for the source
+/// timeout, which means that the source itself is partitioned.
 bool feed_sink::is_source_lagging(uint64_t applied) {
   bool behind = false;
   for (const box_entry& it : boxes_.boxes()) {
@@ -208,7 +211,8 @@
     return false;
   }
   if (!behind_since_) behind_since_ = now;
-  // What came of a snapshot would be lost with its source.
+  // Recent snapshot parts count as progress, because a change of the source
+  // would lose them.
   return now - std::max(*behind_since_, last_part_) > detail::source_timeout;
 }
 
@@ -254,8 +258,8 @@
   source_since_ = last_reply_ = now;
 }
 
-/// Live boxes, the nearest first: replicas here, replicas elsewhere, then the
-/// other boxes here.
+/// Live boxes in order of preference: replicas in this data centre, replicas in
+/// other data centres, then other boxes in this data centre.
 std::vector<box_id> feed_sink::candidates() const {
   const data_centre_id& here = boxes_.own_data_centre();
   std::vector<box_id> all;
--- a/record/feed.h
+++ b/record/feed.h
@@ -1,6 +1,6 @@
-// Spreads the committed entries from the replicas to all boxes. A box asks a
-// source for what follows its last entry; the source answers and then sends
-// each new entry by itself until the box falls silent.
+// Distributes the committed entries from the replicas to all boxes. A box
+// requests the entries after its last one from a source. The source replies and
+// then pushes each new entry, until the box stops sending requests.
 #pragma once
 
 #include <deque>
@@ -21,16 +21,16 @@
 
 namespace kestrelreel {
 
-/// Sends to one box; the message may be lost.
+/// Sends a message to one box; delivery is not guaranteed.
 using send_function = std::function<void(const box_id&, proto::peer_message)>;
 
-/// A state that goes to other boxes in parts.
+/// A snapshot that is sent to other boxes in parts.
 struct feed_snapshot {
   uint64_t id = 0;
   proto::log_snapshot content;
 };
 
-/// The side that gives entries. Every box has one.
+/// Sends entries to subscribers. Every box has one.
 class feed_source {
  public:
   feed_source(const record_state& state, clock_source& clock,
@@ -38,12 +38,12 @@
 
   /// An entry was applied here.
   void on_applied(const proto::log_entry& entry);
-  /// A snapshot was installed here: earlier entries can't be given any more.
+  /// A snapshot was installed here; earlier entries are no longer available.
   void on_installed();
-  /// A box asks for what follows `request.applied()`.
+  /// Handles a request for the entries after `request.applied()`.
   void on_request(const box_id& from, const proto::feed_request& request,
                   const std::string& leader);
-  /// Sends what subscribers lack, as far as it may be on its way to them.
+  /// Sends missing entries to all subscribers, as far as their windows allow.
   void flush();
 
  private:
@@ -52,7 +52,7 @@
     time_point last_request{};
     std::string leader;
     bool in_parts = false;
-    /// The one that is on its way; null for none.
+    /// The snapshot being sent; null for none.
     std::shared_ptr<const feed_snapshot> snapshot;
   };
   bool send_after(const box_id& to, subscriber& it);
@@ -71,20 +71,20 @@
   uint64_t last_transfer_id_ = 0;
 };
 
-/// The side that takes entries, on boxes without a replica.
+/// Receives entries, on boxes without a replica.
 class feed_sink {
  public:
   feed_sink(const box_table& boxes, clock_source& clock, send_function send);
 
-  /// Asks a source when one is due; `applied` is the last entry here.
+  /// Sends a request when one is due; `applied` is the last applied entry.
   void tick(uint64_t applied);
-  /// The box that is asked now; empty when none is reachable.
+  /// The current source; empty when none is reachable.
   const box_id& source() const { return source_; }
-  /// The snapshot that a reply brings or makes whole, until the next call; null
-  /// for none.
+  /// Returns the snapshot that a reply contains or completes, valid until the
+  /// next call; null for none.
   const proto::log_snapshot* take_snapshot(const box_id& from,
                                            const proto::feed_reply& reply);
-  /// A reply was taken from a box; `applied` is the last entry here after it.
+  /// A reply was processed; `applied` is the last applied entry after it.
   void on_reply(const box_id& from, const proto::feed_reply& reply,
                 uint64_t applied);
 
@@ -99,9 +99,10 @@
   send_function send_;
   box_id source_;
   time_point source_since_{};
-  /// Given up in this round; each other one comes before them.
+  /// Sources given up in this round; all other candidates are tried first.
   std::set<box_id> tried_;
-  /// What came of a snapshot, and from whom: a former source may complete it.
+  /// Received parts of a snapshot, and their sender: a former source may still
+  /// complete it.
   feed_snapshot incoming_;
   box_id incoming_from_;
   time_point last_part_{};
--- a/record/record-state-test.cc
+++ b/record/record-state-test.cc
@@ -1,5 +1,5 @@
-// Which changes are accepted, what a resend is told, and that equal logs give
-// equal states.
+// Which changes are accepted, the outcome of a resent change, and that equal
+// logs give equal states.
 #include "record/record-state.h"
 
 #include <CppUTest/TestHarness.h>
@@ -57,7 +57,7 @@
 
 TEST_GROUP(record_state){};
 
-TEST(record_state, changes_are_judged_against_version_3_with_content_30) {
+TEST(record_state, changes_are_checked_against_the_current_version) {
   struct {
     const char* name;
     uint64_t replaces;
@@ -73,8 +73,10 @@
       {"equal version, other content", 2, 3, 31, false, proto::change_conflict,
        3},
       {"older", 1, 2, 20, false, proto::change_stale, 3},
-      {"newer, of an old base", 2, 4, 40, false, proto::change_conflict, 3},
-      {"newer, of a base to come", 5, 6, 60, false, proto::change_conflict, 3},
+      {"newer, based on an old version", 2, 4, 40, false,
+       proto::change_conflict, 3},
+      {"newer, based on a future version", 5, 6, 60, false,
+       proto::change_conflict, 3},
       {"incomplete, could be accepted", 3, 4, 40, true, proto::change_unknown,
        3},
       {"incomplete, must be refused", 2, 4, 40, true, proto::change_conflict,
@@ -90,7 +92,7 @@
   }
 }
 
-TEST(record_state, of_two_with_equal_versions_one_wins_and_the_other_is_told) {
+TEST(record_state, of_two_changes_with_one_version_the_second_conflicts) {
   record_with_log it;
   it.change("base", 0, 3, 30);
   CHECK_EQUAL(proto::change_accepted, it.change("first", 3, 4, 40));
@@ -122,7 +124,7 @@
   STRCMP_EQUAL(it.state.save().c_str(), other.save().c_str());
 }
 
-TEST(record_state, a_snapshot_is_taken_only_when_later) {
+TEST(record_state, a_snapshot_is_installed_only_when_later) {
   record_with_log it;
   it.put_job("j", 1);
   proto::log_snapshot early;
@@ -137,7 +139,7 @@
   CHECK_EQUAL(1, other.jobs().size());
 }
 
-TEST(record_state, only_the_jobs_data_centre_records_its_ends) {
+TEST(record_state, only_the_granted_data_centre_completes_tasks) {
   record_with_log it;
   it.put_job("j", 1);
   proto::command give;
@@ -160,9 +162,9 @@
   CHECK_TRUE(it.state.jobs().at("j").done.contains(2));
 }
 
-// The change that first ordered it counts for its version and age, also after
-// a snapshot; what a later file still names goes on.
-TEST(record_state, evacuations_are_known_by_the_change_that_ordered_them) {
+// The first change that orders an evacuation sets its version and age, also
+// after a snapshot. An evacuation that a later change still orders continues.
+TEST(record_state, an_evacuation_keeps_the_version_that_first_ordered_it) {
   record_with_log record;
   const auto put = [&](uint64_t version, const char* evacuate,
                        const char* take_back) {
--- a/record/record-state.cc
+++ b/record/record-state.cc
@@ -5,7 +5,7 @@
 namespace kestrelreel {
 namespace detail {
 
-// A day's changes at the target are 13,000.
+/// Change outcomes that are kept; the target load is 13,000 changes a day.
 constexpr size_t max_outcomes = 20'000;
 
 }  // namespace detail
@@ -75,7 +75,7 @@
   }
 }
 
-/// The first change that orders it counts for its age.
+/// The first change that orders an evacuation sets its version and age.
 void record_state::add_evacuation(const proto::state_change& change,
                                   const proto::spec_item& item) {
   const std::string& name = item.evacuation().data_centre();
--- a/record/record-state.h
+++ b/record/record-state.h
@@ -1,5 +1,5 @@
-// The state that the replicated log builds up: the desired state, what became
-// of each change, and how far the jobs are. Equal logs give equal states.
+// The state machine of the replicated log: the desired state, the outcome of
+// each change, and the progress of jobs. Equal logs give equal states.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 
 namespace kestrelreel {
 
-/// How far a job is.
+/// Progress of a job.
 struct job_state {
-  /// The only data centre that may start its tasks; empty before it is given.
+  /// The only data centre that may start its tasks; empty until one is granted.
   data_centre_id data_centre;
-  /// Tasks that ended well.
+  /// Tasks that completed successfully.
   std::set<uint32_t> done;
 };
 
-/// The record. It only goes forward; see `apply`.
+/// The replicated state. The applied index never goes back; see `apply`.
 class record_state {
  public:
-  /// Applies the entry that follows the last one; others are ignored.
+  /// Applies the entry that follows the last one; ignores any other entry.
   void apply(const proto::log_entry& entry);
-  /// Takes the snapshot's state if it is later than this one.
+  /// Replaces this state by the snapshot if the snapshot is later.
   void install(const proto::log_snapshot& snapshot);
-  /// The whole state, for `install` elsewhere.
+  /// Serializes the whole state, for `install` on another box.
   std::string save() const;
 
   /// Index of the last applied entry.
@@ -54,15 +54,15 @@
   bool evacuated(const data_centre_id& it) const {
     return evacuations_.contains(it.str());
   }
-  /// Keys of the items that changed since the last call, or whose job's state
-  /// did; `all` when a snapshot changed everything.
+  /// Keys of the items that changed, or whose job's progress changed, since the
+  /// last `take_touched`. `all` is true after a snapshot was installed.
   struct touched_items {
     bool all = false;
     std::set<std::string> keys;
   };
   touched_items take_touched() { return std::exchange(touched_, {}); }
 
-  /// What became of a change; null when unknown or long past.
+  /// The outcome of a change; null when unknown or no longer kept.
   const proto::change_outcome* outcome(const std::string& request_id) const;
 
  private:
--- a/record/spec.cc
+++ b/record/spec.cc
@@ -45,7 +45,7 @@
 }  // namespace detail
 
 uint64_t digest_of(const proto::spec_item& item) {
-  // The messages hold no maps, so their bytes are fixed.
+  // The messages contain no maps, so their serialization is deterministic.
   return detail::checksum(item.SerializeAsString());
 }
 
--- a/record/spec.h
+++ b/record/spec.h
@@ -14,7 +14,7 @@
 /// Items by key, such as `service/iklim-servis`.
 using spec_items = std::map<std::string, proto::spec_item>;
 
-/// The key that an item's kind and name give it.
+/// The key of an item, made of its kind and name.
 std::string key_of(const proto::spec_item& item);
 /// The key of the item that evacuates a data centre.
 std::string evacuation_key(const std::string& data_centre);
@@ -22,10 +22,10 @@
 spec_items by_key(
     const google::protobuf::RepeatedPtrField<proto::spec_item>& items);
 
-/// Fingerprint of one item; equal items have equal ones on all machines.
+/// Fingerprint of one item; the same on every box for equal items.
 uint64_t digest_of(const proto::spec_item& item);
-/// Fingerprint of all: the sum of the items', so that a change of one item
-/// costs no look at the others.
+/// Fingerprint of all items: the sum of their fingerprints, so that it can be
+/// updated for one changed item without reading the others.
 uint64_t digest_of(const spec_items& items);
 
 /// How one desired state differs from another.
@@ -38,17 +38,16 @@
   }
 };
 
-/// What leads from `from` to `to`.
+/// The difference that turns `from` into `to`.
 spec_difference compare(const spec_items& from, const spec_items& to);
-/// The change that leads from `from` to `to`; versions and names are left to
-/// the caller.
+/// The change that turns `from` into `to`; the caller sets versions and names.
 proto::state_change make_change(const spec_items& from, const spec_items& to);
 
-/// A run's part of the digest by which a holder renews all of a worker's runs
-/// at once: the CRC-64 (ECMA-182) of `TASK@ATTEMPT`.
+/// Contribution of one run to the digest with which a holder renews all runs of
+/// a worker at once: the CRC-64 (ECMA-182) of `TASK@ATTEMPT`.
 uint64_t run_digest(const task_id& task, attempt_number attempt);
 
-/// Conversions between the wire's resources and the strong types.
+/// Conversions between the wire format's resources and the strong types.
 resource_amount to_amount(const proto::resources& r);
 proto::resources to_proto(const resource_amount& r);
 
