--- a/consensus/follower-progress.cc
+++ b/consensus/follower-progress.cc
@@ -54,11 +54,11 @@
 }
 
 bool follower_progress::rejected(uint64_t previous, uint64_t hint) {
-  const bool told = previous != 0;
-  if (told && (previous <= match_ || previous >= next_)) return false;
+  const bool has_index = previous != 0;
+  if (has_index && (previous <= match_ || previous >= next_)) return false;
   // Every message that was in flight is rejected separately; only the answer to
   // the current probe counts.
-  if (told && probing_ && previous != next_ - 1) return false;
+  if (has_index && probing_ && previous != next_ - 1) return false;
   next_ = std::max(match_, std::min(next_ - 1, hint)) + 1;
   probing_ = true;
   in_flight_.clear();
--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -24,7 +24,7 @@
   std::unique_ptr<raft> it;
   std::unique_ptr<leader_lease> lease;
   // Suspended until this time, and the total time suspended so far.
-  time_point wakes_at{};
+  time_point suspended_until{};
   milliseconds suspended{0};
 };
 
@@ -41,12 +41,12 @@
   lease_run(uint64_t seed, const lease_options& options)
       : random_(seed), options_(options) {
     for (unsigned i = 0; i < box_count; ++i) {
-      proto::replica& voter = *founders_.add_voters();
+      proto::replica& voter = *founding_.add_voters();
       voter.set_box(name(i));
       voter.set_identity("founder");
     }
     for (unsigned i = 0; i < box_count; ++i) {
-      boxes_[i].disk.founding = founders_;
+      boxes_[i].disk.founding = founding_;
       start(i);
     }
   }
@@ -56,16 +56,16 @@
     unsigned conflicts = 0;
     for (unsigned i = 0; i < steps; ++i) {
       step();
-      unsigned deciding = 0;
+      unsigned holders = 0;
       for (lease_box& it : boxes_) {
-        if (is_awake(it) && it.lease->valid(*it.it, clock_of(it))) ++deciding;
+        if (is_awake(it) && it.lease->valid(*it.it, clock_of(it))) ++holders;
       }
-      decided_ += deciding > 0 ? 1 : 0;
-      conflicts += deciding > 1 ? 1 : 0;
+      steps_with_lease_ += holders > 0 ? 1 : 0;
+      conflicts += holders > 1 ? 1 : 0;
     }
     return conflicts;
   }
-  unsigned decided() const { return decided_; }
+  unsigned steps_with_lease() const { return steps_with_lease_; }
 
  private:
   static std::string name(unsigned i) { return str_cat("b", i); }
@@ -80,20 +80,22 @@
     boxes_[i].lease = std::make_unique<leader_lease>(lease_time);
   }
 
-  bool is_awake(const lease_box& it) const { return now_ >= it.wakes_at; }
+  bool is_awake(const lease_box& it) const {
+    return now_ >= it.suspended_until;
+  }
   time_point clock_of(const lease_box& it) const {
     return options_.clock_counts_suspension ? now_ : now_ - it.suspended;
   }
 
-  void suspend_one() {
+  void suspend_random_box() {
     lease_box& it = boxes_[random_.below(box_count)];
     if (!is_awake(it)) return;
     const milliseconds n = tick * static_cast<int64_t>(10 + random_.below(50));
-    it.wakes_at = now_ + n;
+    it.suspended_until = now_ + n;
     it.suspended += n;
   }
 
-  void pump(unsigned i) {
+  void process_actions(unsigned i) {
     lease_box& box = boxes_[i];
     for (;;) {
       raft_actions actions = box.it->take_actions();
@@ -121,35 +123,35 @@
     if (dice >= 13 && dice < 20) {
       for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
     }
-    if (options_.suspends && dice >= 20 && dice < 26) suspend_one();
+    if (options_.suspends && dice >= 20 && dice < 26) suspend_random_box();
     // A box that resumes may decide before its first tick.
     for (unsigned i = 0; i < box_count; ++i) {
-      if (now_ <= boxes_[i].wakes_at) continue;
+      if (now_ <= boxes_[i].suspended_until) continue;
       boxes_[i].lease->before_tick(clock_of(boxes_[i]));
       boxes_[i].it->tick();
       boxes_[i].lease->after_tick(*boxes_[i].it);
-      pump(i);
+      process_actions(i);
     }
     for (unsigned n = 0; n < 60 && !network_.empty(); ++n) {
       const proto::raft_message m = network_.front();
       network_.pop_front();
       const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
-      if (now_ <= boxes_[to].wakes_at) continue;
+      if (now_ <= boxes_[to].suspended_until) continue;
       boxes_[to].it->step(m);
-      pump(to);
+      process_actions(to);
     }
     network_.clear();
   }
 
   seeded_random random_;
   lease_options options_;
-  proto::membership founders_;
+  proto::membership founding_;
   lease_box boxes_[box_count];
   std::vector<std::vector<bool>> cut_{box_count,
                                       std::vector<bool>(box_count, false)};
   std::deque<proto::raft_message> network_;
   time_point now_{10'000};
-  unsigned decided_ = 0;
+  unsigned steps_with_lease_ = 0;
 };
 
 }  // namespace
@@ -157,13 +159,13 @@
 TEST_GROUP(leader_lease){};
 
 TEST(leader_lease, at_most_one_box_holds_the_lease) {
-  unsigned decided = 0;
+  unsigned steps_with_lease = 0;
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     lease_run run(seed, {});
     LONGS_EQUAL_TEXT(0, run.run(400), str_cat("seed ", seed).c_str());
-    decided += run.decided();
+    steps_with_lease += run.steps_with_lease();
   }
-  CHECK_TRUE(decided > 300 * 100);
+  CHECK_TRUE(steps_with_lease > 300 * 100);
 }
 
 TEST(leader_lease, two_boxes_may_hold_it_without_the_vote_delay_on_start) {
@@ -175,13 +177,13 @@
 }
 
 TEST(leader_lease, at_most_one_box_holds_it_while_boxes_are_suspended) {
-  unsigned decided = 0;
+  unsigned steps_with_lease = 0;
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     lease_run run(seed, {.suspends = true});
     LONGS_EQUAL_TEXT(0, run.run(400), str_cat("seed ", seed).c_str());
-    decided += run.decided();
+    steps_with_lease += run.steps_with_lease();
   }
-  CHECK_TRUE(decided > 300 * 50);
+  CHECK_TRUE(steps_with_lease > 300 * 50);
 }
 
 // A steady clock that stops during a suspension makes an old lease look valid.
--- a/consensus/log-store.cc
+++ b/consensus/log-store.cc
@@ -35,7 +35,8 @@
   return out + body;
 }
 
-/// Decodes the record at offset `at`; returns false when none is valid there.
+/// Decodes the record at offset `at` and sets `end` to the offset after it;
+/// returns false when none is valid there.
 bool decode(std::string_view bytes, size_t at, proto::disk_record& record,
             size_t& end) {
   record_prefix head{};
@@ -50,6 +51,7 @@
   return record.ParseFromArray(body.data(), static_cast<int>(body.size()));
 }
 
+/// True when a valid record begins anywhere after offset `at`.
 bool has_valid_record_after(std::string_view bytes, size_t at) {
   const std::string magic(reinterpret_cast<const char*>(&record_magic),
                           sizeof(record_magic));
@@ -193,8 +195,8 @@
   if (!absl::IsResourceExhausted(status)) return status;
   // Truncates the part of the record that reached the full disk, so that the
   // record can be written again later.
-  const absl::Status cut = reopen(size_);
-  return cut.ok() ? status : cut;
+  const absl::Status truncated = reopen(size_);
+  return truncated.ok() ? status : truncated;
 }
 
 absl::Status log_store::compact(const proto::log_snapshot& snapshot,
--- a/consensus/power-loss-test.cc
+++ b/consensus/power-loss-test.cc
@@ -30,7 +30,7 @@
   std::string violation;
   /// Boxes that had synced the last acknowledged entry.
   size_t holders = 0;
-  bool leader_emptied = false;
+  bool leader_wiped = false;
   bool from_snapshot = false;
 };
 
@@ -49,7 +49,7 @@
     for (auto& it : boxes_) it->start(true);
     // Boxes with slow disks lag, so that sometimes only a bare majority holds
     // the acknowledged entries.
-    slow_ = random_.below(tolerated_losses() + 1);
+    slow_box_count_ = random_.below(tolerated_losses() + 1);
     target_acknowledged_ = 5 + random_.below(60);
   }
 
@@ -58,14 +58,14 @@
     for (unsigned i = 0; i < busy_steps; ++i) {
       const size_t before = acknowledged_.size();
       busy_step();
-      note_acknowledged();
+      record_acknowledged();
       just_acknowledged = acknowledged_.size() > before;
       if (just_acknowledged && acknowledged_.size() >= target_acknowledged_)
         break;
     }
     if (!just_acknowledged) fail("too few commands were acknowledged");
     if (no_violation()) lose_power_everywhere();
-    if (no_violation()) settle();
+    if (no_violation()) recover();
     return std::move(outcome_);
   }
 
@@ -75,7 +75,7 @@
   void applied(const std::string& /*box*/,
                const proto::log_entry& entry) override {
     const bool counts = !power_lost_ && entry.kind() == proto::entry_command;
-    if (counts && entry.index() > last_.index()) last_ = entry;
+    if (counts && entry.index() > last_command_.index()) last_command_ = entry;
   }
   void installed(const std::string& /*box*/, uint64_t /*index*/,
                  const std::vector<std::string>& /*state*/) override {}
@@ -104,14 +104,14 @@
     const uint64_t dice = random_.below(100);
     if (dice < 45) return deliver();
     if (dice < 60) return random_box().instance().tick();
-    if (dice < 92) return run_some_disk();
+    if (dice < 92) return run_random_disk();
     propose();
   }
 
-  void run_some_disk() {
+  void run_random_disk() {
     const size_t i = random_.below(boxes_.size());
-    const bool waits = i < slow_ && random_.below(12) != 0;
-    if (!waits) boxes_[i]->run_disk();
+    const bool delayed = i < slow_box_count_ && random_.below(12) != 0;
+    if (!delayed) boxes_[i]->run_disk();
   }
 
   void deliver() {
@@ -119,10 +119,10 @@
     std::swap(network_[random_.below(network_.size())], network_.back());
     const proto::raft_message m = std::move(network_.back());
     network_.pop_back();
-    if (random_.below(20) != 0) hand_over(m);
+    if (random_.below(20) != 0) dispatch(m);
   }
 
-  void hand_over(const proto::raft_message& m) {
+  void dispatch(const proto::raft_message& m) {
     for (auto& it : boxes_) {
       if (it->box() == m.to()) it->instance().receive(m);
     }
@@ -136,7 +136,7 @@
 
   /// Counts commands as acknowledged once the leader has applied them, which is
   /// when a leader answers its callers.
-  void note_acknowledged() {
+  void record_acknowledged() {
     const soak_box* it = leader();
     if (it == nullptr) return;
     for (size_t i = acknowledged_.size(); i < it->state().size(); ++i) {
@@ -148,15 +148,15 @@
     power_lost_ = true;
     std::vector<soak_box*> holders;
     for (auto& it : boxes_) {
-      if (it->holds_synced(last_)) holders.push_back(it.get());
+      if (it->holds_synced(last_command_)) holders.push_back(it.get());
     }
     outcome_.holders = holders.size();
-    const soak_box* led = leader();
+    const soak_box* old_leader = leader();
     for (size_t i = 0; i < tolerated_losses() && !holders.empty(); ++i) {
       const size_t chosen = random_.below(holders.size());
       soak_box* it = holders[chosen];
       holders.erase(holders.begin() + static_cast<ptrdiff_t>(chosen));
-      outcome_.leader_emptied = outcome_.leader_emptied || it == led;
+      outcome_.leader_wiped = outcome_.leader_wiped || it == old_leader;
       it->lose_power();
       it->wipe();
     }
@@ -168,8 +168,8 @@
     if (random_.below(2) == 0) network_.clear();
     for (auto& it : boxes_) {
       it->start(false);
-      const bool sound = options_.fault == injected_fault::none;
-      if (sound && it->applied_index() < it->highest_applied()) {
+      const bool fault_free = options_.fault == injected_fault::none;
+      if (fault_free && it->applied_index() < it->highest_applied()) {
         fail(str_cat(it->box(), " starts below its highest applied index"));
       }
     }
@@ -181,27 +181,29 @@
       const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
       const raft_log& log = r.log();
-      const uint64_t index = last_.index();
+      const uint64_t index = last_command_.index();
       if (index < log.snapshot_index()) continue;
-      if (log.has_term(index) && log.term_at(index) == last_.term()) continue;
-      fail(str_cat("lost ", last_.payload(), ": ", it->box(), " leads"));
+      if (log.has_term(index) && log.term_at(index) == last_command_.term())
+        continue;
+      fail(
+          str_cat("lost ", last_command_.payload(), ": ", it->box(), " leads"));
     }
   }
 
   /// Without further faults, the boxes must agree on one more command.
-  void settle() {
-    bool asked = false;
+  void recover() {
+    bool proposed = false;
     for (unsigned i = 0; i < recovery_steps; ++i) {
       for (auto& it : boxes_) it->run_disk();
       if (i % 12 == 0) {
         for (auto& it : boxes_) it->instance().tick();
       }
-      for (const auto& m : std::exchange(network_, {})) hand_over(m);
+      for (const auto& m : std::exchange(network_, {})) dispatch(m);
       // A run with a deliberate fault stops at its first violation.
       check_leaders();
       if (!no_violation()) return;
-      const bool again = i % 600 == 599;
-      if (!asked || again) asked = propose();
+      const bool retry_due = i % 600 == 599;
+      if (!proposed || retry_due) proposed = propose();
       if (i % 100 == 99 && has_recovered()) return check_end();
     }
     fail(leader() == nullptr ? "no leader was elected"
@@ -227,8 +229,8 @@
   void check_end() {
     const auto& state = boxes_[0]->state();
     for (size_t i = 0; i < acknowledged_.size(); ++i) {
-      const bool there = i < state.size() && state[i] == acknowledged_[i];
-      if (!there) return fail(str_cat("lost ", acknowledged_[i]));
+      const bool found = i < state.size() && state[i] == acknowledged_[i];
+      if (!found) return fail(str_cat("lost ", acknowledged_[i]));
     }
   }
 
@@ -238,9 +240,9 @@
   std::vector<proto::raft_message> network_;
   std::vector<std::string> acknowledged_;
   // The last command applied before the power loss.
-  proto::log_entry last_;
+  proto::log_entry last_command_;
   bool power_lost_ = false;
-  size_t slow_ = 0;
+  size_t slow_box_count_ = 0;
   size_t target_acknowledged_ = 0;
   uint64_t proposals_ = 0;
   run_outcome outcome_;
@@ -273,7 +275,7 @@
 TEST(power_loss, acknowledged_entries_survive_power_loss_and_lost_disks) {
   for (const row& it : rows) {
     unsigned bare_majority = 0;
-    unsigned leaders_emptied = 0;
+    unsigned leaders_wiped = 0;
     unsigned from_snapshot = 0;
     for (uint64_t seed = 1; seed <= it.seeds; ++seed) {
       const run_outcome result =
@@ -285,12 +287,12 @@
       const size_t majority = it.replicas / 2 + 1;
       CHECK_TRUE(result.holders >= majority);
       bare_majority += result.holders == majority ? 1 : 0;
-      leaders_emptied += result.leader_emptied ? 1 : 0;
+      leaders_wiped += result.leader_wiped ? 1 : 0;
       from_snapshot += result.from_snapshot ? 1 : 0;
     }
     // The seeds must cover the hard cases.
     CHECK_TRUE(bare_majority >= it.seeds / 10);
-    CHECK_TRUE(leaders_emptied >= it.seeds / 10);
+    CHECK_TRUE(leaders_wiped >= it.seeds / 10);
     CHECK_TRUE(from_snapshot >= it.seeds / 10);
   }
 }
--- a/consensus/raft-install.cc
+++ b/consensus/raft-install.cc
@@ -48,14 +48,14 @@
   leader_ = m.from();
   elapsed_ticks_ = 0;
   const proto::log_snapshot& part = m.snapshot();
-  const bool held =
+  const bool already_covered =
       part.index() <= commit_ || (log_.has_term(part.index()) &&
                                   log_.term_at(part.index()) == part.term());
-  if (held) return on_install(m);
-  const bool same = incoming_snapshot_ && incoming_term_ == m.term() &&
-                    incoming_snapshot_->index() == part.index() &&
-                    incoming_snapshot_->term() == part.term();
-  if (!same) {
+  if (already_covered) return on_install(m);
+  const bool same_snapshot = incoming_snapshot_ && incoming_term_ == m.term() &&
+                             incoming_snapshot_->index() == part.index() &&
+                             incoming_snapshot_->term() == part.term();
+  if (!same_snapshot) {
     incoming_snapshot_ = std::make_unique<proto::log_snapshot>(part);
     incoming_snapshot_->clear_data();
     incoming_term_ = m.term();
--- a/consensus/raft-members.cc
+++ b/consensus/raft-members.cc
@@ -8,11 +8,13 @@
 
 namespace kestrelreel {
 
+/// Rebuilds the followers from the membership and keeps the progress of those
+/// whose identity is unchanged.
 void raft::refresh_progress() {
-  std::map<std::string, follower_progress> fresh;
-  const auto keep = [&](const proto::replica& member, bool learner) {
+  std::map<std::string, follower_progress> updated;
+  const auto add_member = [&](const proto::replica& member, bool learner) {
     if (member.box() == settings_.self.str()) return;
-    follower_progress& it = fresh[member.box()];
+    follower_progress& it = updated[member.box()];
     const auto old = progress_.find(member.box());
     const bool same =
         old != progress_.end() && old->second.identity == member.identity();
@@ -21,9 +23,9 @@
     it.identity = member.identity();
     it.learner = learner;
   };
-  for (const proto::replica& it : members().voters()) keep(it, false);
-  for (const proto::replica& it : members().learners()) keep(it, true);
-  progress_ = std::move(fresh);
+  for (const proto::replica& it : members().voters()) add_member(it, false);
+  for (const proto::replica& it : members().learners()) add_member(it, true);
+  progress_ = std::move(updated);
 }
 
 bool raft::membership_settled() const {
@@ -42,6 +44,7 @@
   remove_surplus_voter();
 }
 
+/// Removes one silent voter while there are more than the target.
 bool raft::remove_surplus_voter() {
   const auto n = static_cast<unsigned>(members().voters_size());
   if (settings_.target_voters == 0 || n <= settings_.target_voters) {
@@ -56,13 +59,15 @@
   return false;
 }
 
+/// Adds one replica that announced itself, as a learner. A voter on the same
+/// box with another identity is removed first.
 bool raft::admit_unknown_replica() {
   for (const auto& [box, identity] : unknown_replicas_) {
     if (is_member(members(), box, identity)) continue;
     proto::membership next = without_box(members(), box);
-    const bool was_voter = find_voter(members(), box) != nullptr;
-    if (was_voter && next.voters_size() == 0) continue;
-    if (!was_voter) {
+    const bool replaces_voter = find_voter(members(), box) != nullptr;
+    if (replaces_voter && next.voters_size() == 0) continue;
+    if (!replaces_voter) {
       proto::replica* it = next.add_learners();
       it->set_box(box);
       it->set_identity(identity);
@@ -88,13 +93,14 @@
 
 /// The number of voters in the box's data centre.
 unsigned raft::voters_in_data_centre_of(const std::string& box) const {
-  const auto place = data_centres_.find(box);
-  if (place == data_centres_.end()) return 0;
+  const auto data_centre = data_centres_.find(box);
+  if (data_centre == data_centres_.end()) return 0;
   const auto& voters = members().voters();
   return static_cast<unsigned>(
       std::count_if(voters.begin(), voters.end(), [&](auto& it) {
         const auto found = data_centres_.find(it.box());
-        return found != data_centres_.end() && found->second == place->second;
+        return found != data_centres_.end() &&
+               found->second == data_centre->second;
       }));
 }
 
--- a/consensus/raft-replication.cc
+++ b/consensus/raft-replication.cc
@@ -78,8 +78,8 @@
 void raft::reject_append(const proto::raft_message& m) {
   uint64_t hint = std::min(m.log_index() - 1, log_.last_index());
   if (m.log_index() <= log_.last_index()) {
-    const uint64_t wrong = log_.term_at(m.log_index());
-    while (hint > commit_ && log_.term_at(hint) == wrong) --hint;
+    const uint64_t conflicting_term = log_.term_at(m.log_index());
+    while (hint > commit_ && log_.term_at(hint) == conflicting_term) --hint;
   }
   proto::raft_message reply = make_message(proto::raft_append_reply, m.from());
   reply.set_log_index(m.log_index());
@@ -158,9 +158,9 @@
   return it.learner && it.next() > heartbeat_commit_;
 }
 
-/// Maximum bytes in flight to one follower. The bytes proposed lately may be in
-/// flight however slow the follower's disk is; `settings_.window_bytes` keeps a
-/// fast follower busy.
+/// Maximum bytes in flight to one follower. The recently proposed bytes may be
+/// in flight however slow the follower's disk is; `settings_.window_bytes`
+/// keeps a fast follower busy.
 size_t raft::window_bytes() const {
   const size_t recent = std::accumulate(proposed_bytes_.begin(),
                                         proposed_bytes_.end(), size_t{0});
@@ -234,7 +234,7 @@
   }
   unstable_from_ = log_.last_index() + 1;
   in_flight_last_index_ = log_.last_index();
-  in_flight_ = true;
+  write_in_flight_ = true;
   in_flight_messages_ = std::move(unsynced_messages_);
   unsynced_messages_.clear();
   return batch;
@@ -243,7 +243,7 @@
 raft_actions raft::take_actions() {
   raft_actions actions;
   if (role_ == raft_role::leader) broadcast(false);
-  if (!in_flight_) {
+  if (!write_in_flight_) {
     actions.persist = next_batch();
     if (!actions.persist) {
       std::move(unsynced_messages_.begin(), unsynced_messages_.end(),
@@ -261,7 +261,7 @@
 }
 
 void raft::persisted() {
-  in_flight_ = false;
+  write_in_flight_ = false;
   persisted_ = std::max(persisted_, in_flight_last_index_);
   durable_commit_ = submitted_commit_;
   if (in_flight_snapshot_)
--- a/consensus/raft.cc
+++ b/consensus/raft.cc
@@ -74,8 +74,9 @@
   return m;
 }
 
-void raft::assign_data_centre(const box_id& box, const data_centre_id& place) {
-  data_centres_[box.str()] = place;
+void raft::assign_data_centre(const box_id& box,
+                              const data_centre_id& data_centre) {
+  data_centres_[box.str()] = data_centre;
 }
 
 void raft::add_replica_box(const box_id& box) {
@@ -174,6 +175,7 @@
     m.set_term(pre_vote ? term_ + 1 : term_);
     m.set_log_index(log_.last_index());
     m.set_log_term(log_.last_term());
+    // In a vote request, `granted` marks a leadership transfer.
     m.set_granted(transfer);
     (pre_vote ? outgoing_messages_ : unsynced_messages_)
         .push_back(std::move(m));
@@ -304,14 +306,14 @@
 void raft::transfer_leadership() {
   if (role_ != raft_role::leader) return;
   std::string best;
-  uint64_t most = 0;
+  uint64_t best_match = 0;
   for (const proto::replica& voter : members().voters()) {
     if (voter.box() == settings_.self.str()) continue;
     const follower_progress& it = progress_[voter.box()];
     if (it.silent_ticks > settings_.election_ticks) continue;
-    if (it.match() < most) continue;
+    if (it.match() < best_match) continue;
     best = voter.box();
-    most = it.match();
+    best_match = it.match();
   }
   if (best.empty()) return;
   outgoing_messages_.push_back(make_message(proto::raft_timeout_now, best));
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -49,8 +49,8 @@
   size_t window_bytes = 256 << 10;
   /// Maximum entries in flight to one follower.
   uint64_t window_entries = 4096;
-  /// Boxes that have a data folder. A replica that is no voter announces itself
-  /// to these boxes.
+  /// Boxes that have a data folder. A replica that is not a voter announces
+  /// itself to these boxes.
   std::vector<box_id> replica_boxes;
   /// Target number of voters. While that many voters answer, no learner is
   /// promoted. While there are more, a silent voter is removed permanently.
@@ -117,7 +117,7 @@
   /// Adds a box that may hold a replica to those of the settings.
   void add_replica_box(const box_id& box);
   /// Sets the data centre of a box; voters are spread over the data centres.
-  void assign_data_centre(const box_id& box, const data_centre_id& place);
+  void assign_data_centre(const box_id& box, const data_centre_id& data_centre);
   /// Returns the pending actions. At most one persist batch is in flight.
   raft_actions take_actions();
   /// The last batch returned by `take_actions` is durable.
@@ -224,6 +224,8 @@
   uint64_t commit_ = 0;
   uint64_t applied_ = 0;
 
+  // Ticks since the last contact with a leader or the start of an election;
+  // while leading, ticks since the last quorum check.
   unsigned elapsed_ticks_ = 0;
   unsigned timeout_ticks_ = 0;
   unsigned heartbeat_elapsed_ticks_ = 0;
@@ -231,7 +233,9 @@
   unsigned vote_delay_ticks_ = 0;
   uint64_t round_ = 0;
   std::set<std::string> votes_;
+  // Followers by box, while leading.
   std::map<std::string, follower_progress> progress_;
+  // Replicas that sent a message without being members: identities by box.
   std::map<std::string, std::string> unknown_replicas_;
   std::map<std::string, data_centre_id> data_centres_;
   // Bytes proposed in each of the last ticks.
@@ -240,13 +244,14 @@
   uint64_t heartbeat_commit_ = 0;
 
   bool hard_state_dirty_ = false;
+  // First index not yet submitted to the disk.
   uint64_t unstable_from_ = 1;
   uint64_t persisted_ = 0;
   uint64_t in_flight_last_index_ = 0;
   // Commit index submitted to the disk, and the one known to be durable.
   uint64_t submitted_commit_ = 0;
   uint64_t durable_commit_ = 0;
-  bool in_flight_ = false;
+  bool write_in_flight_ = false;
   // A snapshot from the leader is installed only once it is durable.
   std::shared_ptr<const proto::log_snapshot> unsaved_snapshot_;
   std::shared_ptr<const proto::log_snapshot> in_flight_snapshot_;
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -66,7 +66,7 @@
     it->receive(m);
   }
   /// Makes the replica the leader of its term with its first entry committed.
-  void lead() {
+  void become_leader() {
     while (it->state().role() == raft_role::follower) it->tick();
     run_disk();
     receive_from_b(proto::raft_pre_vote_reply, it->state().term() + 1);
@@ -83,7 +83,7 @@
       run_disk();
     }
   }
-  bool holds(const std::string& text) const {
+  bool contains_anywhere(const std::string& text) const {
     const raft_log& log = it->state().log();
     for (uint64_t i = log.snapshot_index() + 1; i <= log.last_index(); ++i) {
       if (log.at(i).payload() == text) return true;
@@ -117,7 +117,7 @@
 TEST(refused_proposal, leaves_nothing_behind) {
   struct {
     const char* name;
-    std::function<void(manual_box&)> before;
+    std::function<void(manual_box&)> prepare;
   } const rows[] = {
       {"just started", [](manual_box&) {}},
       {"candidate",
@@ -126,47 +126,47 @@
        }},
       {"lost its majority",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          box.tick(settle_ticks);
        }},
       {"another leader",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          box.receive_from_b(proto::raft_append, box.it->state().term() + 1);
        }},
       {"transferred leadership",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          box.it->transfer_leadership();
        }},
       {"full disk",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          CHECK_TRUE(box.it->propose("one before").ok());
          box.run_disk(absl::ResourceExhaustedError("full"));
        }},
       {"slow disk",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          CHECK_TRUE(box.it->propose("one before").ok());
          for (int i = 0; i < 4; ++i) box.it->tick();
        }},
       {"failed disk",
        [](manual_box& box) {
-         box.lead();
+         box.become_leader();
          CHECK_TRUE(box.it->propose("one before").ok());
          box.run_disk(absl::InternalError("broken"));
        }},
   };
   for (const auto& row : rows) {
     manual_box box(3);
-    row.before(box);
+    row.prepare(box);
     const uint64_t last = box.it->state().log().last_index();
     const absl::Status status = box.it->propose(command);
     CHECK_TRUE_TEXT(absl::IsUnavailable(status), row.name);
     CHECK_EQUAL_TEXT(last, box.it->state().log().last_index(), row.name);
     box.tick(settle_ticks);
-    CHECK_FALSE_TEXT(box.holds(command), row.name);
+    CHECK_FALSE_TEXT(box.contains_anywhere(command), row.name);
   }
 }
 
@@ -174,10 +174,10 @@
 // meaningful.
 TEST(refused_proposal, accepted_proposal_is_found) {
   manual_box box(3);
-  box.lead();
+  box.become_leader();
   CHECK_TRUE(box.it->propose(command).ok());
   box.run_disk();
-  CHECK_TRUE(box.holds(command));
+  CHECK_TRUE(box.contains_anywhere(command));
   CHECK_TRUE(box.sent.find(command) != std::string::npos);
 }
 
--- a/consensus/replica.h
+++ b/consensus/replica.h
@@ -70,8 +70,9 @@
   void add_replica_box(const box_id& box) { raft_.add_replica_box(box); }
 
   /// Sets the data centre of a box.
-  void assign_data_centre(const box_id& box, const data_centre_id& place) {
-    raft_.assign_data_centre(box, place);
+  void assign_data_centre(const box_id& box,
+                          const data_centre_id& data_centre) {
+    raft_.assign_data_centre(box, data_centre);
   }
 
   /// Read access to the state machine.
--- a/consensus/returning-follower-test.cc
+++ b/consensus/returning-follower-test.cc
@@ -27,7 +27,7 @@
 
 struct scenario {
   const char* name;
-  int cut_ms;
+  int partition_ms;
   // Number of isolated boxes, of five.
   int isolated_boxes;
   size_t entry_bytes;
@@ -70,27 +70,27 @@
     }
   }
 
-  void lead() {
+  void elect_leader() {
     proto::raft_message m;
     m.set_kind(proto::raft_timeout_now);
     m.set_from("b1");
     m.set_from_identity("founder");
     m.set_to("b0");
     replicas_[0]->step(m);
-    pass(1'000);
+    advance(1'000);
     CHECK_TRUE(replicas_[0]->role() == raft_role::leader);
   }
 
-  void isolate() { first_cut_box_ = boxes - scenario_.isolated_boxes; }
+  void isolate() { first_isolated_box_ = boxes - scenario_.isolated_boxes; }
   void heal() {
-    first_cut_box_ = boxes;
+    first_isolated_box_ = boxes;
     measuring_ = true;
     for (const auto& [to, all] : queued_) {
-      for (const proto::raft_message& it : all) put_on_link(it);
+      for (const proto::raft_message& it : all) send_on_link(it);
     }
   }
 
-  void pass(int ms) {
+  void advance(int ms) {
     for (int i = 0; i < ms; ++i) step();
   }
 
@@ -104,17 +104,18 @@
   /// Crashes these boxes, so that the leader needs an isolated box for a
   /// majority.
   void crash(int first, int last) {
-    for (int i = first; i <= last; ++i) dead_[i] = true;
+    for (int i = first; i <= last; ++i) crashed_[i] = true;
   }
 
   bool caught_up() const {
     for (int i = 0; i < boxes; ++i) {
       // Entries proposed while an entry and its commit are in flight.
       constexpr int entry_ms = 15;
-      const auto near =
+      const auto allowed_lag =
           static_cast<uint64_t>(5 + 4 * scenario_.latency_ms / entry_ms);
       const uint64_t last = replicas_[0]->log().last_index();
-      if (!dead_[i] && replicas_[i]->commit_index() + near < last) return false;
+      if (!crashed_[i] && replicas_[i]->commit_index() + allowed_lag < last)
+        return false;
     }
     return true;
   }
@@ -136,14 +137,14 @@
       CHECK_TRUE(index.ok());
     }
     for (int i = 0; i < boxes; ++i) {
-      if (now_ % tick_ms == i && !dead_[i]) replicas_[i]->tick();
-      take(i);
+      if (now_ % tick_ms == i && !crashed_[i]) replicas_[i]->tick();
+      run_replica(i);
     }
     deliver();
-    note_round();
+    record_round();
   }
 
-  void note_round() {
+  void record_round() {
     const uint64_t round = replicas_[0]->quorum_round();
     if (round != last_round_) round_at_ = now_;
     last_round_ = round;
@@ -152,8 +153,8 @@
     }
   }
 
-  void take(int i) {
-    if (dead_[i]) return;
+  void run_replica(int i) {
+    if (crashed_[i]) return;
     if (sync_due_[i] == now_) replicas_[i]->persisted();
     raft_actions actions = replicas_[i]->take_actions();
     if (actions.persist && scenario_.sync_ms == 0) replicas_[i]->persisted();
@@ -163,8 +164,8 @@
 
   void send(int from, const proto::raft_message& it) {
     const int to = it.to().back() - '0';
-    if (from >= first_cut_box_) return;
-    if (to >= first_cut_box_) {
+    if (from >= first_isolated_box_) return;
+    if (to >= first_isolated_box_) {
       if (now_ - connecting_since_ >= connect_ms) {
         queued_.clear();
         connecting_since_ = now_;
@@ -174,14 +175,14 @@
       if (all.size() < max_queued) all.push_back(it);
       return;
     }
-    if (from == 0) return put_on_link(it);
+    if (from == 0) return send_on_link(it);
     in_flight_.push_back({now_ + scenario_.latency_ms, now_, it});
   }
 
-  void put_on_link(const proto::raft_message& it) {
-    const bool returns =
+  void send_on_link(const proto::raft_message& it) {
+    const bool to_isolated =
         it.to().back() - '0' >= boxes - scenario_.isolated_boxes;
-    const bool slow = returns && scenario_.slow_bytes_per_ms > 0;
+    const bool slow = to_isolated && scenario_.slow_bytes_per_ms > 0;
     const double rate = slow ? scenario_.slow_bytes_per_ms : link_bytes_per_ms;
     double& free_at = slow ? slow_link_free_at_ : link_free_at_;
     free_at = std::max(free_at, static_cast<double>(now_)) +
@@ -190,7 +191,7 @@
     in_flight_.push_back({due, now_, it});
     if (!measuring_) return;
     longest_wait_ms_ = std::max(longest_wait_ms_, due - now_);
-    if (returns) bytes_sent_ += it.ByteSizeLong();
+    if (to_isolated) bytes_sent_ += it.ByteSizeLong();
   }
 
   void deliver() {
@@ -202,7 +203,7 @@
     });
     for (const proto::raft_message& it : due) {
       const int to = it.to().back() - '0';
-      if (!dead_[to]) replicas_[to]->step(it);
+      if (!crashed_[to]) replicas_[to]->step(it);
     }
   }
 
@@ -213,14 +214,14 @@
   // Messages to isolated boxes, queued while the connection is being made.
   std::map<int, std::vector<proto::raft_message>> queued_;
   int connecting_since_ = 0;
-  int first_cut_box_ = boxes;
+  int first_isolated_box_ = boxes;
   int now_ = 0;
   double link_free_at_ = 0;
   double slow_link_free_at_ = 0;
   bool measuring_ = false;
   size_t bytes_sent_ = 0;
   int longest_wait_ms_ = 0;
-  std::array<bool, boxes> dead_{};
+  std::array<bool, boxes> crashed_{};
   std::array<int, boxes> sync_due_{-1, -1, -1, -1, -1};
   uint64_t last_round_ = 0;
   int round_at_ = 0;
@@ -256,23 +257,25 @@
   };
   for (const scenario& it : rows) {
     cluster all(it);
-    all.lead();
+    all.elect_leader();
     all.isolate();
-    const int pause = it.compacted_ms / it.compactions;
-    for (int i = 0; pause > 0 && i < it.compactions; ++i) {
-      all.pass(pause);
+    const int interval = it.compacted_ms / it.compactions;
+    for (int i = 0; interval > 0 && i < it.compactions; ++i) {
+      all.advance(interval);
       all.compact();
     }
-    all.pass(it.cut_ms - it.compacted_ms);
+    all.advance(it.partition_ms - it.compacted_ms);
     all.heal();
-    all.pass(5'000);
+    all.advance(5'000);
     CHECK_TEXT(all.caught_up(), str_cat(it.name, ": not caught up").c_str());
     // One entry is proposed every 15 ms; those of the 5 s after the partition
     // follow the missed ones.
-    const size_t missed = it.entry_bytes * (it.cut_ms - it.compacted_ms) / 15;
+    const size_t missed =
+        it.entry_bytes * (it.partition_ms - it.compacted_ms) / 15;
     const size_t later = it.entry_bytes * 5'000 / 15;
-    const size_t once = it.isolated_boxes * (missed + later + it.state_bytes);
-    check_at_most(once * 3 / 2, all.bytes_sent(), it.name, "bytes");
+    const size_t expected_bytes =
+        it.isolated_boxes * (missed + later + it.state_bytes);
+    check_at_most(expected_bytes * 3 / 2, all.bytes_sent(), it.name, "bytes");
     check_at_most(max_wait_ms, all.longest_wait_ms(), it.name, "wait in ms");
   }
 }
@@ -285,14 +288,14 @@
     const scenario it{"a needed voter", 3'000,  1, 1'000, 2'000,
                       16'000'000,       latency};
     cluster all(it);
-    all.lead();
+    all.elect_leader();
     all.isolate();
-    all.pass(it.compacted_ms);
+    all.advance(it.compacted_ms);
     all.compact();
-    all.pass(it.cut_ms - it.compacted_ms);
+    all.advance(it.partition_ms - it.compacted_ms);
     all.heal();
     all.crash(2, 3);
-    all.pass(8'000);
+    all.advance(8'000);
     check_at_most(lease_ms, all.longest_round_ms(), it.name, "round in ms");
     CHECK_TEXT(all.caught_up(), str_cat("latency ", latency).c_str());
   }
@@ -304,8 +307,8 @@
     scenario it{"slow disks", 0, 0, 40'000};
     it.sync_ms = sync;
     cluster all(it);
-    all.lead();
-    all.pass(15'000);
+    all.elect_leader();
+    all.advance(15'000);
     constexpr size_t max_uncommitted = 40;
     check_at_most(max_uncommitted, all.uncommitted(), it.name, "uncommitted");
   }
@@ -317,12 +320,12 @@
   scenario it{"slow link", 2'000, 1, 500, 1'000, 1'000'000};
   it.slow_bytes_per_ms = 60;
   cluster all(it);
-  all.lead();
+  all.elect_leader();
   all.isolate();
-  all.pass(it.compacted_ms);
+  all.advance(it.compacted_ms);
   all.compact();
-  all.pass(it.cut_ms - it.compacted_ms);
+  all.advance(it.partition_ms - it.compacted_ms);
   all.heal();
-  all.pass(120'000);
+  all.advance(120'000);
   CHECK_TRUE(all.caught_up());
 }
--- a/consensus/soak/soak-box.cc
+++ b/consensus/soak/soak-box.cc
@@ -26,18 +26,18 @@
 
 }  // namespace detail
 
-soak_box::soak_box(std::string box, std::vector<std::string> all,
+soak_box::soak_box(std::string box, std::vector<std::string> all_boxes,
                    const soak_options& options, random_source& random,
                    soak_observer& observer)
     : box_(std::move(box)),
-      all_(std::move(all)),
+      all_boxes_(std::move(all_boxes)),
       options_(options),
       random_(random),
       observer_(observer) {}
 
 proto::membership soak_box::founding_members() const {
   proto::membership members;
-  for (const std::string& it : all_) {
+  for (const std::string& it : all_boxes_) {
     proto::replica& voter = *members.add_voters();
     voter.set_box(it);
     voter.set_identity("founder");
@@ -49,12 +49,12 @@
   const box_id self(box_);
   auto store = log_store::open(disk_, self);
   if (store.ok() && options_.fault == injected_fault::vote_not_synced) {
-    return without_vote(**store);
+    return reopen_without_vote(**store);
   }
   if (store.ok()) return std::move(*store);
-  const bool as_founder =
+  const bool founds_cluster =
       new_cluster || options_.fault == injected_fault::empty_replica_votes;
-  if (as_founder) {
+  if (founds_cluster) {
     return std::move(
         *log_store::create(disk_, self, "founder", founding_members()));
   }
@@ -63,7 +63,7 @@
 }
 
 /// Reopens the folder's log as if the last vote had not been synced.
-std::unique_ptr<log_store> soak_box::without_vote(log_store& store) {
+std::unique_ptr<log_store> soak_box::reopen_without_vote(log_store& store) {
   raft_state state = store.take_state();
   auto result = std::move(*log_store::create(disk_, box_id(box_),
                                              store.identity(), state.founding));
@@ -95,7 +95,7 @@
   // votes and is needed for the lease only (leader-lease-test).
   settings.delay_first_vote = options_.seed % 4 == 0;
   settings.slow_write_ticks = options_.seed % 4 == 1 ? 4 : 0;
-  for (const std::string& it : all_) {
+  for (const std::string& it : all_boxes_) {
     settings.replica_boxes.emplace_back(it);
   }
   compaction_settings compaction;
@@ -104,7 +104,7 @@
       std::move(settings), random_, std::move(store), *this, *this, compaction);
 }
 
-void soak_box::end_process() {
+void soak_box::stop_process() {
   const bool cut_write = !writes_.empty() && random_.below(2) == 0;
   if (cut_write) {
     disk_.fail_after(static_cast<int>(random_.below(3)));
@@ -116,12 +116,12 @@
 }
 
 void soak_box::crash() {
-  end_process();
+  stop_process();
   disk_.crash(random_);
 }
 
 void soak_box::lose_power() {
-  end_process();
+  stop_process();
   disk_.lose_unsynced();
 }
 
@@ -149,12 +149,12 @@
   if (writes_.empty()) return;
   pending_write it = std::move(writes_.front());
   writes_.pop_front();
-  const bool skips_sync =
+  const bool fails_sync =
       options_.fault == injected_fault::acknowledge_unsynced;
-  if (skips_sync) disk_.fail_after(1);
+  if (fails_sync) disk_.fail_after(1);
   absl::Status status = it.work();
   disk_.heal();
-  if (skips_sync) status = absl::OkStatus();
+  if (fails_sync) status = absl::OkStatus();
   it.done(status);
 }
 
--- a/consensus/soak/soak-box.h
+++ b/consensus/soak/soak-box.h
@@ -28,7 +28,7 @@
 /// A box whose replica can crash, stall and lose its data folder.
 class soak_box final : public replica_callbacks, public serial_executor {
  public:
-  soak_box(std::string box, std::vector<std::string> all,
+  soak_box(std::string box, std::vector<std::string> all_boxes,
            const soak_options& options, random_source& random,
            soak_observer& observer);
 
@@ -71,13 +71,13 @@
     std::function<absl::Status()> work;
     std::function<void(absl::Status)> done;
   };
-  void end_process();
+  void stop_process();
   std::unique_ptr<log_store> open_store(bool new_cluster);
-  std::unique_ptr<log_store> without_vote(log_store& store);
+  std::unique_ptr<log_store> reopen_without_vote(log_store& store);
   proto::membership founding_members() const;
 
   std::string box_;
-  std::vector<std::string> all_;
+  std::vector<std::string> all_boxes_;
   const soak_options& options_;
   random_source& random_;
   soak_observer& observer_;
--- a/consensus/soak/soak-run.cc
+++ b/consensus/soak/soak-run.cc
@@ -36,7 +36,7 @@
       random_step();
       check_leaders();
     }
-    if (no_violation()) settle();
+    if (no_violation()) recover();
     report_.committed = committed_.size();
     report_.acknowledged = acknowledged_.size();
     for (auto& it : boxes_) report_.snapshots += it->snapshots();
@@ -44,13 +44,13 @@
   }
 
   void sent(const proto::raft_message& m) override {
-    if (cut_.contains({m.from(), m.to()})) return;
+    if (cut_links_.contains({m.from(), m.to()})) return;
     if (network_.size() >= max_messages) return;
     network_.push_back(m);
   }
 
   void applied(const std::string& box, const proto::log_entry& entry) override {
-    const auto [it, fresh] = committed_.try_emplace(entry.index(), entry);
+    const auto [it, inserted] = committed_.try_emplace(entry.index(), entry);
     const bool same = it->second.term() == entry.term() &&
                       it->second.payload() == entry.payload();
     if (!same) fail(str_cat(box, " applied a different entry ", entry.index()));
@@ -58,13 +58,13 @@
 
   void installed(const std::string& box, uint64_t index,
                  const std::vector<std::string>& state) override {
-    std::vector<std::string> wanted;
+    std::vector<std::string> expected;
     for (const auto& [at, entry] : committed_) {
       if (at > index) break;
       if (entry.kind() != proto::entry_command) continue;
-      wanted.push_back(entry.payload());
+      expected.push_back(entry.payload());
     }
-    if (state != wanted) {
+    if (state != expected) {
       fail(str_cat(box, " installed a different state at ", index));
     }
   }
@@ -80,23 +80,23 @@
   void random_step() {
     const uint64_t dice = random_.below(1'000);
     if (dice < 480) return deliver();
-    if (dice < 700) return tick_one();
-    if (dice < 850) return run_disk_of(random_box());
+    if (dice < 700) return tick_random_box();
+    if (dice < 850) return run_disk_if_up(random_box());
     if (dice < 940) return propose();
-    if (dice < 945) return crash_one();
-    if (dice < 970) return start_one();
-    if (dice < 972) return lose_folder();
+    if (dice < 945) return crash_random_box();
+    if (dice < 970) return start_random_box();
+    if (dice < 972) return wipe_random_folder();
     if (dice < 976) return cut_link();
     if (dice < 996) return heal_link();
     transfer_or_contest_leadership();
   }
 
-  void tick_one() {
+  void tick_random_box() {
     soak_box& it = random_box();
     if (it.up()) it.instance().tick();
   }
 
-  void run_disk_of(soak_box& it) {
+  void run_disk_if_up(soak_box& it) {
     if (it.up()) it.run_disk();
   }
 
@@ -111,11 +111,11 @@
       network_.pop_back();
     }
     if (random_.below(12) == 0) return;
-    hand_over(m);
+    dispatch(m);
   }
 
-  void hand_over(const proto::raft_message& m) {
-    if (cut_.contains({m.from(), m.to()})) return;
+  void dispatch(const proto::raft_message& m) {
+    if (cut_links_.contains({m.from(), m.to()})) return;
     for (auto& it : boxes_) {
       if (it->box() == m.to() && it->up()) it->instance().receive(m);
     }
@@ -138,12 +138,12 @@
     soak_box* it = leader();
     if (it == nullptr) return;
     const std::string text = str_cat("c", ++proposals_);
-    if (it->instance().propose(text).ok()) note_acknowledged();
+    if (it->instance().propose(text).ok()) record_acknowledged();
   }
 
   /// Counts commands as acknowledged once the leader has applied them, which is
   /// when a leader answers its callers.
-  void note_acknowledged() {
+  void record_acknowledged() {
     const soak_box* it = leader();
     if (it == nullptr) return;
     for (size_t i = acknowledged_count_; i < it->state().size(); ++i) {
@@ -152,14 +152,14 @@
     acknowledged_count_ = std::max(acknowledged_count_, it->state().size());
   }
 
-  void crash_one() {
+  void crash_random_box() {
     soak_box& it = random_box();
     if (!it.up()) return;
     it.crash();
     ++report_.crashes;
   }
 
-  void start_one() {
+  void start_random_box() {
     soak_box& it = random_box();
     if (!it.up()) start(it);
   }
@@ -175,7 +175,7 @@
 
   /// Wipes a data folder, but only while all boxes are up and are voters, so
   /// that the record survives.
-  void lose_folder() {
+  void wipe_random_folder() {
     soak_box& it = random_box();
     for (auto& member : boxes_) {
       if (!member->up() || !knows_all_voters(*member)) return;
@@ -206,11 +206,11 @@
   void cut_link() {
     const soak_box& a = random_box();
     const soak_box& b = random_box();
-    if (&a != &b) cut_.insert({a.box(), b.box()});
+    if (&a != &b) cut_links_.insert({a.box(), b.box()});
   }
 
   void heal_link() {
-    if (!cut_.empty()) cut_.erase(cut_.begin());
+    if (!cut_links_.empty()) cut_links_.erase(cut_links_.begin());
   }
 
   /// Transfers leadership, or lets two other replicas contest the next term.
@@ -234,13 +234,13 @@
       if (it->instance().state().log().last_index() != last) continue;
       others.push_back(it.get());
     }
-    if (others.size() < 2 || !cut_.empty()) return;
+    if (others.size() < 2 || !cut_links_.empty()) return;
     for (soak_box* it : others) start_candidacy(old, *it);
-    ask_for_vote(*others[0], old);
+    request_vote(*others[0], old);
     old.crash();
     ++report_.crashes;
     old.start(false);
-    ask_for_vote(*others[1], old);
+    request_vote(*others[1], old);
   }
 
   void start_candidacy(const soak_box& old, soak_box& it) {
@@ -254,7 +254,7 @@
     finish_writes(it);
   }
 
-  void ask_for_vote(soak_box& candidate, soak_box& voter) {
+  void request_vote(soak_box& candidate, soak_box& voter) {
     deliver_between(candidate, voter, proto::raft_vote);
     finish_writes(voter);
     deliver_between(voter, candidate, proto::raft_vote_reply);
@@ -275,18 +275,19 @@
       if (match) found.push_back(m);
       return match;
     });
-    for (const proto::raft_message& m : found) hand_over(m);
+    for (const proto::raft_message& m : found) dispatch(m);
   }
 
   void check_leaders() {
-    note_acknowledged();
+    record_acknowledged();
     for (auto& it : boxes_) {
       if (!it->up()) continue;
       const raft& r = it->instance().state();
       if (r.role() != raft_role::leader) continue;
-      const auto [known, fresh] = leaders_.try_emplace(r.term(), it->box());
-      if (fresh) ++report_.elections;
-      if (known->second != it->box()) {
+      const auto [leader_of_term, inserted] =
+          leaders_.try_emplace(r.term(), it->box());
+      if (inserted) ++report_.elections;
+      if (leader_of_term->second != it->box()) {
         fail(str_cat("two leaders in term ", r.term()));
       }
     }
@@ -294,8 +295,8 @@
 
   /// Ends all faults. The replicas must then agree, hold every acknowledged
   /// command and accept a new command.
-  void settle() {
-    cut_.clear();
+  void recover() {
+    cut_links_.clear();
     for (auto& it : boxes_) {
       if (!it->up()) start(*it);
     }
@@ -307,21 +308,21 @@
       for (size_t n = network_.size(); n > 0; --n) {
         const proto::raft_message m = network_.front();
         network_.erase(network_.begin());
-        hand_over(m);
+        dispatch(m);
       }
       check_leaders();
       if (i % 600 == 599) propose();
-      if (i > recovery_steps / 3 && i % 600 == 300 && agreed()) break;
+      if (i > recovery_steps / 3 && i % 600 == 300 && have_converged()) break;
     }
     if (no_violation()) check_end();
   }
 
-  bool agreed() {
+  bool have_converged() {
     for (auto& it : boxes_) {
       if (it->applied_index() != boxes_[0]->applied_index()) return false;
     }
     const soak_box* it = leader();
-    return it != nullptr && full_membership() && holds_last();
+    return it != nullptr && full_membership() && holds_last_command();
   }
 
   bool full_membership() {
@@ -331,7 +332,7 @@
     return members.voters_size() == static_cast<int>(boxes_.size());
   }
 
-  bool holds_last() const {
+  bool holds_last_command() const {
     const auto& state = boxes_[0]->state();
     return !state.empty() && state.back() == str_cat("c", proposals_);
   }
@@ -351,7 +352,7 @@
   }
 
   void check_end() {
-    if (!agreed()) {
+    if (!have_converged()) {
       return fail("the replicas do not agree after all faults ended:" +
                   describe());
     }
@@ -369,7 +370,7 @@
   seeded_random random_;
   std::vector<std::unique_ptr<soak_box>> boxes_;
   std::vector<proto::raft_message> network_;
-  std::set<std::pair<std::string, std::string>> cut_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
   std::map<uint64_t, proto::log_entry> committed_;
   std::map<uint64_t, std::string> leaders_;
   std::set<std::string> acknowledged_;
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -64,7 +64,7 @@
     if (it.snapshot) source_.on_installed();
   }
 
-  void pass(int ms) {
+  void advance(int ms) {
     for (const int end = now_ + ms; now_ < end;) step();
   }
 
@@ -72,7 +72,9 @@
     return scenario_.entries * scenario_.entry_bytes;
   }
   size_t sent() const { return sent_; }
-  bool caught_up() const { return fed_.applied() == state_.applied(); }
+  bool caught_up() const {
+    return subscriber_state_.applied() == state_.applied();
+  }
 
  private:
   void commit() {
@@ -100,13 +102,14 @@
       boxes_.record_heartbeat(box_id("source"), 1, ahead);
       if (scenario_.other_source)
         boxes_.record_heartbeat(box_id("silent"), 1, ahead);
-      sink_.tick(fed_.applied());
+      sink_.tick(subscriber_state_.applied());
       source_.flush();
     }
-    const int repeat = scenario_.repeat_ms;
-    if (repeat > 0 && now_ % repeat == 0) requests_.push_back(last_request_);
-    const int held = scenario_.request_delay_ms;
-    if (held == 0 || now_ % held == 0) {
+    const int interval = scenario_.repeat_ms;
+    if (interval > 0 && now_ % interval == 0)
+      requests_.push_back(last_request_);
+    const int delay = scenario_.request_delay_ms;
+    if (delay == 0 || now_ % delay == 0) {
       for (const auto& it : std::exchange(requests_, {})) {
         source_.on_request(box_id("fed"), it, "leader");
       }
@@ -114,7 +117,7 @@
     while (!link_.empty() && link_.front().due <= now_) {
       const proto::peer_message m = std::move(link_.front().m);
       link_.pop_front();
-      if (random_.below(100) >= scenario_.loss_percent) take(m.fed());
+      if (random_.below(100) >= scenario_.loss_percent) receive_reply(m.fed());
     }
   }
 
@@ -128,16 +131,16 @@
     requests_.push_back(it);
   }
 
-  void take(proto::feed_reply reply) {
+  void receive_reply(proto::feed_reply reply) {
     const box_id from("source");
     const auto* whole = sink_.take_snapshot(from, reply);
-    if (whole) fed_.install(*whole);
-    for (const auto& it : reply.entries()) fed_.apply(it);
+    if (whole) subscriber_state_.install(*whole);
+    for (const auto& it : reply.entries()) subscriber_state_.apply(it);
     if (scenario_.earlier_version) reply.set_acknowledge(false);
-    sink_.on_reply(from, reply, fed_.applied());
+    sink_.on_reply(from, reply, subscriber_state_.applied());
   }
 
-  void put_on_link(proto::peer_message m) {
+  void send_on_link(proto::peer_message m) {
     const size_t n = m.ByteSizeLong();
     sent_ += n;
     if (scenario_.bytes_per_ms == 0) return;
@@ -150,9 +153,9 @@
   virtual_clock clock_;
   seeded_random random_{1};
   record_state state_;
-  record_state fed_;
+  record_state subscriber_state_;
   feed_source source_{state_, clock_, [this](const box_id&, auto m) {
-                        put_on_link(std::move(m));
+                        send_on_link(std::move(m));
                       }};
   std::vector<box_entry> entries_{
       {box_id("source"), data_centre_id("d"), "", true},
@@ -211,7 +214,7 @@
   };
   for (const scenario& it : rows) {
     slow_feed feed(it);
-    feed.pass(it.seconds * 1'000);
+    feed.advance(it.seconds * 1'000);
     CHECK_TEXT(feed.caught_up(), str_cat(it.name, ": not caught up").c_str());
     // Each entry has an overhead of up to 60 bytes, which matters for small
     // ones.
@@ -237,9 +240,9 @@
   };
   for (const scenario& it : rows) {
     slow_feed feed(it);
-    feed.pass(it.seconds * 1'000);
+    feed.advance(it.seconds * 1'000);
     check_sent_at_most(2 * max_unacknowledged, feed.sent(), it);
-    feed.pass(27'000);
+    feed.advance(27'000);
     check_sent_at_most(10 * max_unacknowledged, feed.sent(), it);
   }
 }
@@ -255,7 +258,7 @@
   };
   for (const scenario& it : rows) {
     slow_feed feed(it);
-    feed.pass(it.seconds * 1'000);
+    feed.advance(it.seconds * 1'000);
     CHECK_TEXT(feed.caught_up(), str_cat(it.name, ": not caught up").c_str());
   }
 }
--- a/record/feed.cc
+++ b/record/feed.cc
@@ -51,7 +51,7 @@
   if (it.snapshot && request.applied() >= it.snapshot->content.index()) {
     it.snapshot.reset();
   }
-  if (send_after(from, it)) return;
+  if (send_missing(from, it)) return;
   // Replies even without new entries, because the box gives up a silent source.
   proto::peer_message m;
   m.mutable_fed()->set_applied(it.progress.sent().applied);
@@ -69,14 +69,14 @@
       it = subscribers_.erase(it);
       continue;
     }
-    if (!silent) send_after(it->first, to);
+    if (!silent) send_missing(it->first, to);
     ++it;
   }
 }
 
 /// Sends missing entries as far as the window allows; returns false when
 /// nothing was sent.
-bool feed_source::send_after(const box_id& to, subscriber& it) {
+bool feed_source::send_missing(const box_id& to, subscriber& it) {
   bool sent = false;
   while (it.progress.sent().applied < state_.applied() &&
          it.progress.can_send()) {
@@ -91,8 +91,8 @@
   proto::feed_reply& reply = *m.mutable_fed();
   reply.set_leader(it.leader);
   feed_position last = it.progress.sent();
-  const bool have = has_entries_after(last.applied);
-  if (have) {
+  const bool has_entries = has_entries_after(last.applied);
+  if (has_entries) {
     it.snapshot.reset();
     last.snapshot_bytes = 0;
   } else {
@@ -127,27 +127,28 @@
 feed_position feed_source::add_snapshot(subscriber& it,
                                         proto::feed_reply& reply) {
   const feed_position at = it.progress.sent();
-  const bool goes_on = it.snapshot && at.snapshot_bytes > 0 &&
-                       it.snapshot->content.index() > at.applied;
-  const bool again =
+  const bool continues = it.snapshot && at.snapshot_bytes > 0 &&
+                         it.snapshot->content.index() > at.applied;
+  const bool reusable =
       it.snapshot && has_entries_after(it.snapshot->content.index());
-  if (!goes_on && !again) it.snapshot = take_snapshot();
-  const proto::log_snapshot& whole = it.snapshot->content;
+  if (!continues && !reusable) it.snapshot = take_snapshot();
+  const proto::log_snapshot& snapshot_content = it.snapshot->content;
   proto::log_snapshot& part = *reply.mutable_snapshot();
   if (!it.in_parts) {
-    part = whole;
-    return {whole.index(), 0};
+    part = snapshot_content;
+    return {snapshot_content.index(), 0};
   }
-  const uint64_t offset = goes_on ? at.snapshot_bytes : 0;
-  part.set_index(whole.index());
-  part.set_term(whole.term());
-  part.set_data(whole.data().substr(offset, detail::max_message_bytes));
+  const uint64_t offset = continues ? at.snapshot_bytes : 0;
+  part.set_index(snapshot_content.index());
+  part.set_term(snapshot_content.term());
+  part.set_data(
+      snapshot_content.data().substr(offset, detail::max_message_bytes));
   reply.set_transfer(it.snapshot->id);
   reply.set_offset(offset);
-  reply.set_total(whole.data().size());
+  reply.set_total(snapshot_content.data().size());
   const uint64_t end = offset + part.data().size();
-  if (end < whole.data().size()) return {at.applied, end};
-  return {whole.index(), 0};
+  if (end < snapshot_content.data().size()) return {at.applied, end};
+  return {snapshot_content.index(), 0};
 }
 
 std::shared_ptr<const feed_snapshot> feed_source::take_snapshot() {
@@ -228,17 +229,18 @@
     const box_id& from, const proto::feed_reply& reply) {
   if (!reply.has_snapshot()) return nullptr;
   if (reply.total() == 0) return &reply.snapshot();
-  proto::log_snapshot& whole = incoming_.content;
+  proto::log_snapshot& snapshot_content = incoming_.content;
   if (from != incoming_from_ || incoming_.id != reply.transfer()) {
     if (from != source_) return nullptr;
     incoming_from_ = from;
     incoming_ = {reply.transfer(), reply.snapshot()};
-    whole.clear_data();
+    snapshot_content.clear_data();
   }
-  if (reply.offset() != whole.data().size()) return nullptr;
-  *whole.mutable_data() += reply.snapshot().data();
+  if (reply.offset() != snapshot_content.data().size()) return nullptr;
+  *snapshot_content.mutable_data() += reply.snapshot().data();
   last_part_ = clock_.now();
-  return whole.data().size() < reply.total() ? nullptr : &whole;
+  return snapshot_content.data().size() < reply.total() ? nullptr
+                                                        : &snapshot_content;
 }
 
 void feed_sink::change_source(time_point now) {
@@ -263,19 +265,19 @@
 std::vector<box_id> feed_sink::candidates() const {
   const data_centre_id& here = boxes_.own_data_centre();
   std::vector<box_id> all;
-  std::vector<box_id> far_replicas;
-  std::vector<box_id> near_boxes;
+  std::vector<box_id> remote_replicas;
+  std::vector<box_id> local_boxes;
   for (const box_entry& it : boxes_.boxes()) {
     if (it.id == boxes_.self() || !boxes_.live(it.id)) continue;
-    const bool near = it.data_centre == here;
+    const bool is_local = it.data_centre == here;
     if (it.replica) {
-      (near ? all : far_replicas).push_back(it.id);
-    } else if (near) {
-      near_boxes.push_back(it.id);
+      (is_local ? all : remote_replicas).push_back(it.id);
+    } else if (is_local) {
+      local_boxes.push_back(it.id);
     }
   }
-  all.insert(all.end(), far_replicas.begin(), far_replicas.end());
-  all.insert(all.end(), near_boxes.begin(), near_boxes.end());
+  all.insert(all.end(), remote_replicas.begin(), remote_replicas.end());
+  all.insert(all.end(), local_boxes.begin(), local_boxes.end());
   return all;
 }
 
--- a/record/feed.h
+++ b/record/feed.h
@@ -55,7 +55,7 @@
     /// The snapshot being sent; null for none.
     std::shared_ptr<const feed_snapshot> snapshot;
   };
-  bool send_after(const box_id& to, subscriber& it);
+  bool send_missing(const box_id& to, subscriber& it);
   void send_message(const box_id& to, subscriber& it);
   bool has_entries_after(uint64_t index) const;
   feed_position add_snapshot(subscriber& it, proto::feed_reply& reply);
