--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -58,7 +58,7 @@
       step();
       unsigned holders = 0;
       for (lease_box& it : boxes_) {
-        if (is_awake(it) && it.lease->valid(*it.it, clock_of(it))) ++holders;
+        if (is_running(it) && it.lease->valid(*it.it, clock_of(it))) ++holders;
       }
       steps_with_lease_ += holders > 0 ? 1 : 0;
       conflicts += holders > 1 ? 1 : 0;
@@ -80,7 +80,7 @@
     boxes_[i].lease = std::make_unique<leader_lease>(lease_time);
   }
 
-  bool is_awake(const lease_box& it) const {
+  bool is_running(const lease_box& it) const {
     return now_ >= it.suspended_until;
   }
   time_point clock_of(const lease_box& it) const {
@@ -89,7 +89,7 @@
 
   void suspend_random_box() {
     lease_box& it = boxes_[random_.below(box_count)];
-    if (!is_awake(it)) return;
+    if (!is_running(it)) return;
     const milliseconds n = tick * static_cast<int64_t>(10 + random_.below(50));
     it.suspended_until = now_ + n;
     it.suspended += n;
@@ -101,7 +101,7 @@
       raft_actions actions = box.it->take_actions();
       for (auto& m : actions.messages) {
         const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
-        if (!cut_[i][to]) network_.push_back(m);
+        if (!cut_links_[i][to]) network_.push_back(m);
       }
       if (!actions.persist) return;
       if (actions.persist->hard) box.disk.hard = *actions.persist->hard;
@@ -118,10 +118,10 @@
     const uint64_t dice = random_.below(100);
     if (dice < 5) start(static_cast<unsigned>(random_.below(box_count)));
     if (dice >= 5 && dice < 13) {
-      cut_[random_.below(box_count)][random_.below(box_count)] = true;
+      cut_links_[random_.below(box_count)][random_.below(box_count)] = true;
     }
     if (dice >= 13 && dice < 20) {
-      for (auto& row : cut_) std::fill(row.begin(), row.end(), false);
+      for (auto& row : cut_links_) std::fill(row.begin(), row.end(), false);
     }
     if (options_.suspends && dice >= 20 && dice < 26) suspend_random_box();
     // A box that resumes may decide before its first tick.
@@ -147,8 +147,8 @@
   lease_options options_;
   proto::membership founding_;
   lease_box boxes_[box_count];
-  std::vector<std::vector<bool>> cut_{box_count,
-                                      std::vector<bool>(box_count, false)};
+  std::vector<std::vector<bool>> cut_links_{
+      box_count, std::vector<bool>(box_count, false)};
   std::deque<proto::raft_message> network_;
   time_point now_{10'000};
   unsigned steps_with_lease_ = 0;
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -168,7 +168,7 @@
   struct row {
     unsigned voters;
     unsigned target;
-    int remaining;
+    int voters_after;
   };
   const row rows[] = {{4, 3, 3}, {3, 3, 3}, {4, 0, 4}, {5, 3, 4}};
   for (const row& it : rows) {
@@ -178,7 +178,7 @@
     for (int i = 0; i < 40; ++i) run.tick(all);
     LONGS_EQUAL(it.voters, run.it->state().members().voters_size());
     for (int i = 0; i < 60; ++i) run.tick(all_but_b1);
-    LONGS_EQUAL(it.remaining, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.voters_after, run.it->state().members().voters_size());
   }
 }
 
@@ -188,7 +188,7 @@
     unsigned voters;
     unsigned learners;
     unsigned target;
-    int remaining;
+    int voters_after;
   };
   const row rows[] = {{3, 22, 5, 5}, {3, 1, 5, 4}, {5, 4, 5, 5}, {3, 2, 0, 5}};
   for (const row& it : rows) {
@@ -196,7 +196,7 @@
     for (int i = 0; i < 200; ++i) {
       run.tick([](const std::string&) { return true; });
     }
-    LONGS_EQUAL(it.remaining, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.voters_after, run.it->state().members().voters_size());
   }
 }
 
--- a/consensus/raft-members.cc
+++ b/consensus/raft-members.cc
@@ -37,7 +37,7 @@
 /// Repairs the membership one step at a time. Of a box that lost its data
 /// folder, the old replica is removed, the new one joins as a learner, and it
 /// becomes a voter once it has caught up.
-void raft::review_membership() {
+void raft::repair_membership() {
   if (!membership_settled()) return;
   if (admit_unknown_replica()) return;
   if (promote_learner()) return;
--- a/consensus/raft.cc
+++ b/consensus/raft.cc
@@ -123,7 +123,7 @@
     });
     if (!quorum) return become_follower(term_, "");
   }
-  review_membership();
+  repair_membership();
   if (++heartbeat_elapsed_ticks_ < settings_.heartbeat_ticks) return;
   heartbeat_elapsed_ticks_ = 0;
   ++round_;
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -188,7 +188,7 @@
   void truncate_from(uint64_t index);
   void track_membership(const proto::log_entry& entry);
   void refresh_progress();
-  void review_membership();
+  void repair_membership();
   bool membership_settled() const;
   bool admit_unknown_replica();
   bool needs_voter() const;
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -142,19 +142,19 @@
       {"full disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("one before").ok());
+         CHECK_TRUE(box.it->propose("earlier command").ok());
          box.run_disk(absl::ResourceExhaustedError("full"));
        }},
       {"slow disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("one before").ok());
+         CHECK_TRUE(box.it->propose("earlier command").ok());
          for (int i = 0; i < 4; ++i) box.it->tick();
        }},
       {"failed disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("one before").ok());
+         CHECK_TRUE(box.it->propose("earlier command").ok());
          box.run_disk(absl::InternalError("broken"));
        }},
   };
@@ -170,8 +170,8 @@
   }
 }
 
-// Shows that `holds` finds an accepted command, so that the check above is
-// meaningful.
+// Shows that `contains_anywhere` finds an accepted command, so that the check
+// above is meaningful.
 TEST(refused_proposal, accepted_proposal_is_found) {
   manual_box box(3);
   box.become_leader();
@@ -187,7 +187,7 @@
   manual_box box(1);
   while (box.it->state().role() == raft_role::follower) box.it->tick();
   box.run_disk();
-  CHECK_TRUE(box.it->propose("one before").ok());
+  CHECK_TRUE(box.it->propose("earlier command").ok());
   box.run_disk(absl::ResourceExhaustedError("full"));
   CHECK_TRUE(box.it->propose(command).ok());
   CHECK_TRUE(box.applied.find(command) == std::string::npos);
--- a/consensus/soak/fake-disk.h
+++ b/consensus/soak/fake-disk.h
@@ -16,8 +16,8 @@
   std::string unsynced;
 };
 
-/// An in-memory data folder. Only one file may be open at a time; a crash
-/// closes it.
+/// An in-memory data folder, used by one log store at a time. A crash closes
+/// its files.
 class fake_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override;
--- a/consensus/soak/soak-box.h
+++ b/consensus/soak/soak-box.h
@@ -41,8 +41,9 @@
   void lose_power();
   /// Runs the oldest write in flight.
   void run_disk();
+  /// Deletes all files of the data folder.
   void wipe();
-  /// True when the entry would survive a power loss.
+  /// True when the entry, or a snapshot that covers it, is synced to disk.
   bool holds_synced(const proto::log_entry& entry);
 
   bool up() const { return replica_ != nullptr; }
--- a/record/box-table.h
+++ b/record/box-table.h
@@ -54,7 +54,7 @@
   /// True for this box, and for a box whose last heartbeat is within its
   /// timeout.
   bool live(const box_id& box) const;
-  /// True for boxes of this box's data centre.
+  /// True for a box in the same data centre as this box.
   bool is_local(const box_id& box) const;
   /// The boxes of a data centre, in the order of the settings.
   std::vector<box_id> in_data_centre(const data_centre_id& it) const;
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -216,10 +216,10 @@
     slow_feed feed(it);
     feed.advance(it.seconds * 1'000);
     CHECK_TEXT(feed.caught_up(), str_cat(it.name, ": not caught up").c_str());
-    // Each entry has an overhead of up to 60 bytes, which matters for small
-    // ones.
+    // Each entry has up to 60 bytes of overhead; small entries nearly double in
+    // size.
     const size_t overhead = it.entries * 60;
-    // Requests that arrive after the retry delay cost an extra window.
+    // A request that arrives after the retry delay costs an extra window.
     const size_t late_requests = it.request_delay_ms > 2'000 ? window : 0;
     check_sent_at_most(feed.missing_bytes() + overhead + window + late_requests,
                        feed.sent(), it);
--- a/record/feed.cc
+++ b/record/feed.cc
@@ -7,14 +7,17 @@
 namespace detail {
 
 constexpr milliseconds request_interval{500};
+/// Entries are pushed for this long after the last request of a subscriber.
 constexpr milliseconds subscription_timeout{3'000};
-/// Keeps the progress of a silent subscriber, because data in flight to a box
-/// whose requests arrive late must not be sent again.
+/// Time for which the progress of a silent subscriber is kept, because data in
+/// flight to a box whose requests arrive late must not be sent again.
 constexpr milliseconds subscriber_retention{30'000};
+/// A box gives up a source that does not reply, or lags, for this long.
 constexpr milliseconds source_timeout{1'500};
 /// After a source served for this long, the round in which each source is tried
 /// once starts over.
 constexpr milliseconds stable_service_time{10'000};
+/// Bound on the recent entries that are kept for subscribers.
 constexpr size_t max_recent_bytes = 4 << 20;
 constexpr size_t max_message_bytes = 64 << 10;
 
