--- a/consensus/follower-progress-test.cc
+++ b/consensus/follower-progress-test.cc
@@ -15,7 +15,8 @@
 constexpr uint64_t batch_entries = 10;
 constexpr size_t batch_bytes = 1'000;
 
-/// Three batches are in flight to a follower that may hold all entries before.
+/// The progress of a follower that is assumed to hold all entries up to
+/// `start_index`, with three batches in flight.
 follower_progress make_progress() {
   follower_progress it;
   it.start_after(start_index);
@@ -25,7 +26,7 @@
 
 struct row {
   const char* name;
-  std::function<void(follower_progress&)> before;
+  std::function<void(follower_progress&)> prepare;
   // The rejection, and whether the leader must act on it.
   uint64_t previous;
   uint64_t hint;
@@ -72,7 +73,7 @@
 TEST(follower_progress, stale_rejections_are_ignored) {
   for (const row& it : rows) {
     follower_progress progress = make_progress();
-    it.before(progress);
+    it.prepare(progress);
     CHECK_EQUAL_TEXT(it.accepted_as_answer,
                      progress.rejected(it.previous, it.hint), it.name);
     LONGS_EQUAL_TEXT(it.next, progress.next(), it.name);
--- a/consensus/leader-lease-test.cc
+++ b/consensus/leader-lease-test.cc
@@ -21,7 +21,7 @@
 /// A replica whose disk is instant, and its lease.
 struct lease_box {
   raft_state disk;
-  std::unique_ptr<raft> it;
+  std::unique_ptr<raft> instance;
   std::unique_ptr<leader_lease> lease;
   // Suspended until this time, and the total time suspended so far.
   time_point suspended_until{};
@@ -58,7 +58,8 @@
       step();
       unsigned holders = 0;
       for (lease_box& it : boxes_) {
-        if (is_running(it) && it.lease->valid(*it.it, clock_of(it))) ++holders;
+        if (is_running(it) && it.lease->valid(*it.instance, clock_of(it)))
+          ++holders;
       }
       steps_with_lease_ += holders > 0 ? 1 : 0;
       conflicts += holders > 1 ? 1 : 0;
@@ -76,7 +77,8 @@
     settings.identity = "founder";
     settings.election_ticks = election_ticks;
     settings.delay_first_vote = options_.delay_first_vote;
-    boxes_[i].it = std::make_unique<raft>(settings, random_, boxes_[i].disk);
+    boxes_[i].instance =
+        std::make_unique<raft>(settings, random_, boxes_[i].disk);
     boxes_[i].lease = std::make_unique<leader_lease>(lease_time);
   }
 
@@ -98,7 +100,7 @@
   void process_actions(unsigned i) {
     lease_box& box = boxes_[i];
     for (;;) {
-      raft_actions actions = box.it->take_actions();
+      raft_actions actions = box.instance->take_actions();
       for (auto& m : actions.messages) {
         const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
         if (!cut_links_[i][to]) network_.push_back(m);
@@ -109,7 +111,7 @@
         box.disk.entries.resize(it.index() - 1);
         box.disk.entries.push_back(it);
       }
-      box.it->persisted();
+      box.instance->persisted();
     }
   }
 
@@ -124,12 +126,13 @@
       for (auto& row : cut_links_) std::fill(row.begin(), row.end(), false);
     }
     if (options_.suspends && dice >= 20 && dice < 26) suspend_random_box();
-    // A box that resumes may decide before its first tick.
+    // A box does not tick in the step in which it resumes, because it may
+    // decide before its first tick.
     for (unsigned i = 0; i < box_count; ++i) {
       if (now_ <= boxes_[i].suspended_until) continue;
       boxes_[i].lease->before_tick(clock_of(boxes_[i]));
-      boxes_[i].it->tick();
-      boxes_[i].lease->after_tick(*boxes_[i].it);
+      boxes_[i].instance->tick();
+      boxes_[i].lease->after_tick(*boxes_[i].instance);
       process_actions(i);
     }
     for (unsigned n = 0; n < 60 && !network_.empty(); ++n) {
@@ -137,7 +140,7 @@
       network_.pop_front();
       const unsigned to = static_cast<unsigned>(m.to()[1] - '0');
       if (now_ <= boxes_[to].suspended_until) continue;
-      boxes_[to].it->step(m);
+      boxes_[to].instance->step(m);
       process_actions(to);
     }
     network_.clear();
--- a/consensus/log-store-cut-test.cc
+++ b/consensus/log-store-cut-test.cc
@@ -32,8 +32,8 @@
   sync_and_open,
 };
 
-/// A folder in memory that runs out of space on request. A replaced file stays
-/// usable, without a name, while it is open.
+/// A folder in memory whose operations fail with `current_fault`. A replaced
+/// file stays usable, without a name, while it is open.
 class faulty_disk final : public disk {
  public:
   absl::StatusOr<std::string> read(const std::string& name) override {
@@ -43,8 +43,9 @@
   }
   absl::StatusOr<std::unique_ptr<append_file>> open(const std::string& name,
                                                     size_t keep) override {
-    const bool fails = now == fault::open || now == fault::append_and_open ||
-                       now == fault::sync_and_open;
+    const bool fails = current_fault == fault::open ||
+                       current_fault == fault::append_and_open ||
+                       current_fault == fault::sync_and_open;
     if (fails) return absl::ResourceExhaustedError("too many open files");
     if (files_[name]->size() > keep) files_[name]->resize(keep);
     return std::make_unique<file>(*this, files_[name]);
@@ -55,7 +56,7 @@
     return absl::OkStatus();
   }
 
-  fault now = fault::none;
+  fault current_fault = fault::none;
 
  private:
   class file final : public append_file {
@@ -63,14 +64,14 @@
     file(const faulty_disk& owner, std::shared_ptr<std::string> bytes)
         : owner_(owner), bytes_(std::move(bytes)) {}
     absl::Status append(std::string_view bytes) override {
-      const bool full =
-          owner_.now == fault::append || owner_.now == fault::append_and_open;
+      const bool full = owner_.current_fault == fault::append ||
+                        owner_.current_fault == fault::append_and_open;
       *bytes_ += full ? bytes.substr(0, bytes.size() / 2) : bytes;
       return full ? absl::ResourceExhaustedError("full") : absl::OkStatus();
     }
     absl::Status sync() override {
-      const bool full =
-          owner_.now == fault::sync || owner_.now == fault::sync_and_open;
+      const bool full = owner_.current_fault == fault::sync ||
+                        owner_.current_fault == fault::sync_and_open;
       return full ? absl::ResourceExhaustedError("full") : absl::OkStatus();
     }
 
@@ -103,11 +104,11 @@
 
 enum class write_path { batch, batch_with_snapshot, compaction };
 
-absl::Status write_by(log_store& store, write_path by) {
-  if (by == write_path::compaction) {
+absl::Status write_by(log_store& store, write_path path) {
+  if (path == write_path::compaction) {
     return store.compact(*snapshot_at(4), batch_of(5, 6).entries);
   }
-  if (by == write_path::batch) return store.write(batch_of(7, 8));
+  if (path == write_path::batch) return store.write(batch_of(7, 8));
   persist_batch batch = batch_of(5, 6);
   batch.snapshot = snapshot_at(4);
   return store.write(batch);
@@ -119,8 +120,8 @@
 
 TEST(log_store_cut, disk_full_is_reported_only_while_the_store_stays_usable) {
   struct row {
-    write_path by;
-    fault what;
+    write_path path;
+    fault injected;
     bool reports_full;
   };
   const row rows[] = {
@@ -135,20 +136,20 @@
     faulty_disk folder;
     auto store = *log_store::create(folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
-    folder.now = it.what;
-    const absl::Status status = write_by(*store, it.by);
-    folder.now = fault::none;
+    folder.current_fault = it.injected;
+    const absl::Status status = write_by(*store, it.path);
+    folder.current_fault = fault::none;
     CHECK_FALSE(status.ok());
     // After "disk full", the caller writes the batch again once space is free.
     const bool reports_full = absl::IsResourceExhausted(status);
-    const bool again = reports_full && store->write(batch_of(7, 8)).ok();
+    const bool wrote_again = reports_full && store->write(batch_of(7, 8)).ok();
     const auto found = log_store::open(folder, self);
     CHECK_TEXT(found.ok(), found.status().ToString().c_str());
     const raft_state state = (*found)->take_state();
     const uint64_t base = state.snapshot ? state.snapshot->index() : 0;
     const uint64_t last = base + state.entries.size();
-    CHECK_TEXT(last >= (again ? 8 : 6), str_cat("found ", last).c_str());
+    CHECK_TEXT(last >= (wrote_again ? 8 : 6), str_cat("found ", last).c_str());
     CHECK_EQUAL(it.reports_full, reports_full);
-    CHECK_EQUAL(it.reports_full, again);
+    CHECK_EQUAL(it.reports_full, wrote_again);
   }
 }
--- a/consensus/log-store-faults-test.cc
+++ b/consensus/log-store-faults-test.cc
@@ -24,7 +24,7 @@
 
 enum class full_target { nothing, file, folder };
 // The target for which `fsync` below fails with ENOSPC.
-full_target full = full_target::nothing;
+full_target fsync_full_at = full_target::nothing;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 extern "C" int fsync(int fd) {
   struct stat info {};
   const bool folder = ::fstat(fd, &info) == 0 && S_ISDIR(info.st_mode);
-  if (full == (folder ? full_target::folder : full_target::file)) {
+  if (fsync_full_at == (folder ? full_target::folder : full_target::file)) {
     errno = ENOSPC;
     return -1;
   }
@@ -82,8 +82,8 @@
 
 enum class write_path { compaction, batch_with_snapshot };
 
-absl::Status write_by(log_store& store, write_path by) {
-  if (by == write_path::compaction) {
+absl::Status write_by(log_store& store, write_path path) {
+  if (path == write_path::compaction) {
     return store.compact(*snapshot_at(4), batch_of(5, 6).entries);
   }
   persist_batch batch = batch_of(5, 6);
@@ -128,10 +128,10 @@
     applied = entry.index();
   }
   std::string save_state() override { return ""; }
-  void disk_full(const absl::Status&) override { ++full; }
+  void disk_full(const absl::Status&) override { ++full_reports; }
   void disk_failed(const absl::Status&) override { ++failed; }
   uint64_t applied = 0;
-  int full = 0;
+  int full_reports = 0;
   int failed = 0;
 };
 
@@ -152,12 +152,12 @@
     auto store = log_store::create(folder, self, "founder", single_voter());
     compaction_settings compaction;
     compaction.entries = 2;
-    it = std::make_unique<replica>(settings, random, std::move(*store),
-                                   executor, callbacks, compaction);
+    instance = std::make_unique<replica>(settings, random, std::move(*store),
+                                         executor, callbacks, compaction);
   }
   void tick(unsigned times) {
     for (unsigned i = 0; i < times && callbacks.failed == 0; ++i) {
-      it->tick();
+      instance->tick();
       executor.drain();
     }
   }
@@ -165,13 +165,13 @@
   seeded_random random{7};
   manual_executor executor;
   recording_callbacks callbacks;
-  std::unique_ptr<replica> it;
+  std::unique_ptr<replica> instance;
 };
 
 }  // namespace
 
 TEST_GROUP(log_store_faults){void teardown()
-                                 override{full = full_target::nothing;
+                                 override{fsync_full_at = full_target::nothing;
 }
 }
 ;
@@ -179,8 +179,8 @@
 TEST(log_store_faults,
      disk_full_is_reported_only_while_the_old_file_has_its_name) {
   struct row {
-    write_path by;
-    full_target at;
+    write_path path;
+    full_target target;
     bool reports_full;
   };
   const row rows[] = {
@@ -193,9 +193,9 @@
     auto folder = temporary.open();
     auto store = *log_store::create(*folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
-    full = it.at;
-    const absl::Status status = write_by(*store, it.by);
-    full = full_target::nothing;
+    fsync_full_at = it.target;
+    const absl::Status status = write_by(*store, it.path);
+    fsync_full_at = full_target::nothing;
     CHECK_FALSE(status.ok());
     const bool reports_full = absl::IsResourceExhausted(status);
     // After "disk full", the caller goes on using this store.
@@ -214,13 +214,13 @@
     auto folder = temporary.open();
     auto run = std::make_unique<single_replica>(*folder);
     run->tick(40);
-    CHECK_TRUE(run->it->propose("a").ok());
-    full = at;
+    CHECK_TRUE(run->instance->propose("a").ok());
+    fsync_full_at = at;
     for (int i = 0; i < 4; ++i) {
-      (void)run->it->propose(str_cat("b", i)).ok();
+      (void)run->instance->propose(str_cat("b", i)).ok();
       run->tick(1);
     }
-    full = full_target::nothing;
+    fsync_full_at = full_target::nothing;
     const recording_callbacks reported = run->callbacks;
     run.reset();
     folder.reset();
@@ -228,7 +228,7 @@
     CHECK_TEXT(
         found >= reported.applied,
         str_cat("acknowledged ", reported.applied, ", found ", found).c_str());
-    CHECK_EQUAL(at == full_target::file, reported.full > 0);
+    CHECK_EQUAL(at == full_target::file, reported.full_reports > 0);
     CHECK_EQUAL(at == full_target::folder ? 1 : 0, reported.failed);
   }
 }
@@ -245,9 +245,9 @@
     auto store = *log_store::create(*folder, self, "id", {});
     CHECK_TRUE(store->write(batch_of(1, 6)).ok());
     store.reset();
-    full = at;
+    fsync_full_at = at;
     const bool started = log_store::open(*folder, self).ok();
-    full = full_target::nothing;
+    fsync_full_at = full_target::nothing;
     CHECK_FALSE(started);
     const uint64_t found = last_entry(*folder);
     CHECK_EQUAL(6, found);
--- a/consensus/log-store-test.cc
+++ b/consensus/log-store-test.cc
@@ -26,7 +26,8 @@
   return batch;
 }
 
-/// A folder with entries 1 to 6, written in three batches.
+/// Creates a log with entries 1 to 6 in three batches, and returns the bytes of
+/// the file.
 std::string three_batches(fake_disk& folder) {
   auto store = *log_store::create(folder, self, "id", {});
   for (uint64_t i = 1; i <= 5; i += 2) {
@@ -64,8 +65,8 @@
   const std::string whole = three_batches(folder);
   fake_disk empty;
   auto first = *log_store::create(empty, self, "id", {});
-  const size_t head = empty.files()["log"].synced.size();
-  for (size_t n = head; n <= whole.size(); ++n) {
+  const size_t header_bytes = empty.files()["log"].synced.size();
+  for (size_t n = header_bytes; n <= whole.size(); ++n) {
     const auto log = parse_log(whole.substr(0, n));
     CHECK_TRUE(log.ok());
     CHECK_EQUAL(0, log->state.entries.size() % 2);
@@ -87,7 +88,8 @@
       ++refused;
       continue;
     }
-    // A corrupt last batch looks like one that a crash cut short.
+    // A corrupt last batch looks like one that a crash cut short, and is
+    // dropped.
     CHECK_EQUAL(4, log->state.entries.size());
   }
   CHECK_TRUE(refused > whole.size() / 2);
--- a/consensus/log-store.cc
+++ b/consensus/log-store.cc
@@ -28,10 +28,10 @@
 
 std::string encode(const proto::disk_record& record) {
   const std::string body = record.SerializeAsString();
-  record_prefix head{record_magic, static_cast<uint32_t>(body.size()),
-                     checksum(body)};
-  std::string out(sizeof(head), '\0');
-  std::memcpy(out.data(), &head, sizeof(head));
+  record_prefix prefix{record_magic, static_cast<uint32_t>(body.size()),
+                       checksum(body)};
+  std::string out(sizeof(prefix), '\0');
+  std::memcpy(out.data(), &prefix, sizeof(prefix));
   return out + body;
 }
 
@@ -39,15 +39,15 @@
 /// returns false when none is valid there.
 bool decode(std::string_view bytes, size_t at, proto::disk_record& record,
             size_t& end) {
-  record_prefix head{};
-  if (bytes.size() - at < sizeof(head)) return false;
-  std::memcpy(&head, bytes.data() + at, sizeof(head));
-  if (head.magic != record_magic) return false;
-  const std::string_view rest = bytes.substr(at + sizeof(head));
-  if (head.length > rest.size()) return false;
-  const std::string_view body = rest.substr(0, head.length);
-  if (checksum(body) != head.checksum) return false;
-  end = at + sizeof(head) + head.length;
+  record_prefix prefix{};
+  if (bytes.size() - at < sizeof(prefix)) return false;
+  std::memcpy(&prefix, bytes.data() + at, sizeof(prefix));
+  if (prefix.magic != record_magic) return false;
+  const std::string_view rest = bytes.substr(at + sizeof(prefix));
+  if (prefix.length > rest.size()) return false;
+  const std::string_view body = rest.substr(0, prefix.length);
+  if (checksum(body) != prefix.checksum) return false;
+  end = at + sizeof(prefix) + prefix.length;
   return record.ParseFromArray(body.data(), static_cast<int>(body.size()));
 }
 
--- a/consensus/log-store.h
+++ b/consensus/log-store.h
@@ -25,8 +25,9 @@
 };
 
 /// Parses a log file. Skips a record cut short at the end, because no sync of
-/// that record can have returned. Returns `DataLoss` for a corrupt record that
-/// precedes a valid one.
+/// that record can have returned. Returns `DataLoss` when the file does not
+/// begin with a valid record, when a corrupt record precedes a valid one, or
+/// when an entry does not follow the earlier ones.
 absl::StatusOr<parsed_log> parse_log(const std::string& bytes);
 
 /// The log of one data folder. Calls block until the disk operation completes.
@@ -44,7 +45,7 @@
       const proto::membership& founding);
 
   const std::string& identity() const { return header_.identity(); }
-  /// Moves out the state that `open` read.
+  /// Moves out the state that `open` read or `create` made.
   raft_state take_state() { return std::move(state_); }
 
   /// Returns once the batch is durable. After `ResourceExhausted` (the disk is
--- a/consensus/power-loss-test.cc
+++ b/consensus/power-loss-test.cc
@@ -248,7 +248,7 @@
   run_outcome outcome_;
 };
 
-run_outcome run_of(uint64_t seed, unsigned replicas, injected_fault fault) {
+run_outcome run_seed(uint64_t seed, unsigned replicas, injected_fault fault) {
   soak_options options;
   options.seed = seed;
   options.replicas = replicas;
@@ -279,7 +279,7 @@
     unsigned from_snapshot = 0;
     for (uint64_t seed = 1; seed <= it.seeds; ++seed) {
       const run_outcome result =
-          run_of(seed, it.replicas, injected_fault::none);
+          run_seed(seed, it.replicas, injected_fault::none);
       CHECK_TEXT(
           result.violation.empty(),
           str_cat(it.replicas, " replicas, seed ", seed, ": ", result.violation)
@@ -301,12 +301,12 @@
   for (const row& it : rows) {
     for (const injected_fault fault : {injected_fault::acknowledge_unsynced,
                                        injected_fault::empty_replica_votes}) {
-      unsigned caught = 0;
-      for (uint64_t seed = 1; seed <= it.seeds && caught == 0; ++seed) {
-        const run_outcome result = run_of(seed, it.replicas, fault);
-        if (result.violation.starts_with("lost ")) ++caught;
+      unsigned detected = 0;
+      for (uint64_t seed = 1; seed <= it.seeds && detected == 0; ++seed) {
+        const run_outcome result = run_seed(seed, it.replicas, fault);
+        if (result.violation.starts_with("lost ")) ++detected;
       }
-      CHECK_TRUE(caught > 0);
+      CHECK_TRUE(detected > 0);
     }
   }
 }
--- a/consensus/raft-install.cc
+++ b/consensus/raft-install.cc
@@ -8,8 +8,8 @@
 
 namespace kestrelreel {
 
-/// Sends parts up to the window. With `heartbeat`, sends at least an empty
-/// part, which asks how much the follower holds.
+/// Sends snapshot parts as far as the window allows. With `heartbeat`, sends at
+/// least an empty part, which asks how much the follower holds.
 void raft::send_install(const std::string& box, follower_progress& it,
                         bool heartbeat) {
   snapshot_transfer& transfer = it.transfer;
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -43,7 +43,7 @@
         : owner_(owner), name_(std::move(name)) {}
     absl::Status append(std::string_view bytes) override {
       if (owner_.full) {
-        // A real disk may also write a part of the bytes.
+        // A full disk may still accept a part of the bytes.
         owner_.files[name_] += bytes.substr(0, bytes.size() / 2);
         return absl::ResourceExhaustedError("full");
       }
@@ -92,7 +92,8 @@
   int failed = 0;
 };
 
-/// Box names count on from the voters to the learners.
+/// A membership of `n` voters from b0 on, and of the boxes after them as
+/// learners.
 proto::membership members_of(unsigned n, unsigned learners) {
   proto::membership members;
   for (unsigned i = 0; i < n; ++i) {
@@ -119,11 +120,11 @@
     settings.slow_write_ticks = 4;
     auto store = log_store::create(folder, settings.self, "founder",
                                    members_of(n, learners));
-    it = std::make_unique<replica>(settings, random, std::move(*store),
-                                   executor, callbacks);
+    instance = std::make_unique<replica>(settings, random, std::move(*store),
+                                         executor, callbacks);
   }
   void tick(const std::function<bool(const std::string&)>& answers) {
-    it->tick();
+    instance->tick();
     for (int i = 0; i < 6; ++i) {
       executor.drain();
       const auto sent = std::exchange(callbacks.sent, {});
@@ -150,14 +151,14 @@
     } else {
       return;
     }
-    it->receive(reply);
+    instance->receive(reply);
   }
 
   seeded_random random;
   limited_disk folder;
   manual_executor executor;
   counting_callbacks callbacks;
-  std::unique_ptr<replica> it;
+  std::unique_ptr<replica> instance;
 };
 
 }  // namespace
@@ -176,9 +177,9 @@
     const auto all = [](const std::string&) { return true; };
     const auto all_but_b1 = [](const std::string& box) { return box != "b1"; };
     for (int i = 0; i < 40; ++i) run.tick(all);
-    LONGS_EQUAL(it.voters, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.voters, run.instance->state().members().voters_size());
     for (int i = 0; i < 60; ++i) run.tick(all_but_b1);
-    LONGS_EQUAL(it.voters_after, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.voters_after, run.instance->state().members().voters_size());
   }
 }
 
@@ -196,7 +197,7 @@
     for (int i = 0; i < 200; ++i) {
       run.tick([](const std::string&) { return true; });
     }
-    LONGS_EQUAL(it.voters_after, run.it->state().members().voters_size());
+    LONGS_EQUAL(it.voters_after, run.instance->state().members().voters_size());
   }
 }
 
@@ -206,7 +207,7 @@
     run.tick([](const std::string&) { return true; });
   const auto all_but_b1 = [](const std::string& box) { return box != "b1"; };
   for (int i = 0; i < 80; ++i) run.tick(all_but_b1);
-  const proto::membership& members = run.it->state().members();
+  const proto::membership& members = run.instance->state().members();
   LONGS_EQUAL(3, members.voters_size());
   CHECK_TRUE(find_voter(members, "b1") == nullptr);
 }
@@ -214,15 +215,15 @@
 TEST(raft_members, voters_are_spread_over_the_data_centres) {
   leader_run run(3, 5, 6);
   // b3 to b5 share the founders' data centres; b6 to b8 are in others.
-  const char* places[] = {"x", "y", "z", "x", "y", "z", "u", "v", "v"};
+  const char* data_centres[] = {"x", "y", "z", "x", "y", "z", "u", "v", "v"};
   for (unsigned i = 0; i < 9; ++i) {
-    run.it->assign_data_centre(box_id(str_cat("b", i)),
-                               data_centre_id(places[i]));
+    run.instance->assign_data_centre(box_id(str_cat("b", i)),
+                                     data_centre_id(data_centres[i]));
   }
   for (int i = 0; i < 100; ++i) {
     run.tick([](const std::string&) { return true; });
   }
-  const proto::membership& members = run.it->state().members();
+  const proto::membership& members = run.instance->state().members();
   LONGS_EQUAL(5, members.voters_size());
   CHECK_TRUE(find_voter(members, "b6") != nullptr);
   CHECK_TRUE((find_voter(members, "b7") != nullptr) !=
@@ -236,7 +237,7 @@
   for (int i = 0; i < 40; ++i) run.tick(all);
   std::map<std::string, int> sent;
   for (int i = 0; i < 50; ++i) {
-    CHECK_TRUE(run.it->propose("a").ok());
+    CHECK_TRUE(run.instance->propose("a").ok());
     run.tick([&](const std::string& box) {
       ++sent[box];
       return true;
@@ -251,11 +252,11 @@
   leader_run run(1, 0);
   const auto none = [](const std::string&) { return false; };
   for (int i = 0; i < 40; ++i) run.tick(none);
-  CHECK_TRUE(run.it->propose("a").ok());
+  CHECK_TRUE(run.instance->propose("a").ok());
   for (int i = 0; i < 3; ++i) run.tick(none);
   LONGS_EQUAL(1, run.callbacks.applied);
   run.folder.full = true;
-  CHECK_TRUE(run.it->propose("b").ok());
+  CHECK_TRUE(run.instance->propose("b").ok());
   for (int i = 0; i < 5; ++i) run.tick(none);
   LONGS_EQUAL(1, run.callbacks.applied);
   CHECK_TRUE(run.callbacks.full > 0);
@@ -271,10 +272,10 @@
   leader_run run(3, 3);
   const auto all = [](const std::string&) { return true; };
   for (int i = 0; i < 40; ++i) run.tick(all);
-  CHECK_TRUE(run.it->state().role() == raft_role::leader);
-  CHECK_TRUE(run.it->propose("a").ok());
-  for (unsigned i = 0; i < 6; ++i) run.it->tick();
-  CHECK_TRUE(run.it->state().role() != raft_role::leader);
+  CHECK_TRUE(run.instance->state().role() == raft_role::leader);
+  CHECK_TRUE(run.instance->propose("a").ok());
+  for (unsigned i = 0; i < 6; ++i) run.instance->tick();
+  CHECK_TRUE(run.instance->state().role() != raft_role::leader);
   bool transferred = false;
   for (const proto::raft_message& it : run.callbacks.sent) {
     transferred = transferred || it.kind() == proto::raft_timeout_now;
--- a/consensus/raft-test.cc
+++ b/consensus/raft-test.cc
@@ -83,15 +83,15 @@
     }
     raft_state state;
     state.founding = founding;
-    it = std::make_unique<raft>(settings, random, state);
+    instance = std::make_unique<raft>(settings, random, state);
   }
 
   /// Takes the actions and completes all writes at once.
   raft_actions settle() {
     raft_actions all;
     for (int i = 0; i < 5; ++i) {
-      raft_actions more = it->take_actions();
-      if (more.persist) it->persisted();
+      raft_actions more = instance->take_actions();
+      if (more.persist) instance->persisted();
       for (auto& m : more.messages) all.messages.push_back(m);
       for (auto& e : more.committed) all.committed.push_back(e);
       if (more.install) all.install = more.install;
@@ -120,7 +120,7 @@
 
   proto::membership founding;
   seeded_random random{1};
-  std::unique_ptr<raft> it;
+  std::unique_ptr<raft> instance;
 };
 
 proto::raft_message snapshot_message(single_replica& box, uint64_t index) {
@@ -139,24 +139,24 @@
   single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
   for (uint64_t i = 1; i <= 5; ++i) single_replica::add_entry(m, i);
-  box.it->step(m);
+  box.instance->step(m);
   box.settle();
-  box.it->step(snapshot_message(box, 3));
+  box.instance->step(snapshot_message(box, 3));
   box.settle();
-  CHECK_EQUAL(5, box.it->log().last_index());
-  CHECK_EQUAL(3, box.it->commit_index());
+  CHECK_EQUAL(5, box.instance->log().last_index());
+  CHECK_EQUAL(3, box.instance->commit_index());
 }
 
 // A snapshot installed before it was durable let a box restart below the index
 // that it had applied.
 TEST(raft, snapshot_is_not_installed_before_it_is_durable) {
   single_replica box;
-  box.it->step(snapshot_message(box, 3));
-  const raft_actions before = box.it->take_actions();
+  box.instance->step(snapshot_message(box, 3));
+  const raft_actions before = box.instance->take_actions();
   CHECK_TRUE(before.persist.has_value());
   CHECK_TRUE(before.install == nullptr);
-  box.it->persisted();
-  CHECK_TRUE(box.it->take_actions().install != nullptr);
+  box.instance->persisted();
+  CHECK_TRUE(box.instance->take_actions().install != nullptr);
 }
 
 // The commit index must be durable before its entries are applied, so that a
@@ -166,12 +166,12 @@
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
   single_replica::add_entry(m, 1);
   m.set_commit(1);
-  box.it->step(m);
-  const raft_actions first = box.it->take_actions();
+  box.instance->step(m);
+  const raft_actions first = box.instance->take_actions();
   CHECK_TRUE(first.committed.empty());
   CHECK_EQUAL(1, first.persist->hard->commit());
-  box.it->persisted();
-  CHECK_EQUAL(1, box.it->take_actions().committed.size());
+  box.instance->persisted();
+  CHECK_EQUAL(1, box.instance->take_actions().committed.size());
 }
 
 // A replica that became a learner by an entry that no other replica held did
@@ -187,10 +187,10 @@
   learner.set_identity("other-folder");
   m.mutable_entries(0)->set_kind(proto::entry_membership);
   m.mutable_entries(0)->set_payload(members.SerializeAsString());
-  box.it->step(m);
+  box.instance->step(m);
   box.settle();
-  for (int i = 0; i < 25; ++i) box.it->tick();
-  CHECK_TRUE(box.it->take_actions().messages.size() >= 2);
+  for (int i = 0; i < 25; ++i) box.instance->tick();
+  CHECK_TRUE(box.instance->take_actions().messages.size() >= 2);
 }
 
 namespace {
@@ -223,37 +223,37 @@
     proto::raft_message m = box.from_leader(proto::raft_append, 0);
     single_replica::add_entry(m, 1);
     single_replica::add_entry(m, 2);
-    box.it->step(m);
+    box.instance->step(m);
     box.settle();
-    for (int i = 0; i < 30; ++i) box.it->tick();
+    for (int i = 0; i < 30; ++i) box.instance->tick();
     box.settle();
-    proto::raft_message ask = box.from_leader(row.kind, 0);
-    ask.set_from("b2");
-    ask.set_from_identity(row.identity);
-    ask.set_term(row.term);
-    ask.set_log_index(row.last_index);
-    ask.set_log_term(row.last_term);
-    box.it->step(ask);
+    proto::raft_message request = box.from_leader(row.kind, 0);
+    request.set_from("b2");
+    request.set_from_identity(row.identity);
+    request.set_term(row.term);
+    request.set_log_index(row.last_index);
+    request.set_log_term(row.last_term);
+    box.instance->step(request);
     bool granted = false;
     for (const auto& it : box.settle().messages) granted |= it.granted();
     CHECK_EQUAL_TEXT(row.granted, granted, row.name);
   }
 }
 
-// A replica with a new data folder must not count in a majority until it has
-// caught up.
+// A replica with a new data folder must neither vote nor count in a majority
+// until it has caught up.
 TEST(raft, votes_of_an_empty_replica_do_not_count) {
   for (const char* identity : {"founder", "new-folder"}) {
     single_replica box;
-    for (int i = 0; i < 30; ++i) box.it->tick();
+    for (int i = 0; i < 30; ++i) box.instance->tick();
     box.settle();
-    CHECK_TRUE(box.it->role() == raft_role::pre_candidate);
+    CHECK_TRUE(box.instance->role() == raft_role::pre_candidate);
     proto::raft_message vote = box.from_leader(proto::raft_pre_vote_reply, 0);
     vote.set_from_identity(identity);
-    vote.set_term(box.it->term() + 1);
+    vote.set_term(box.instance->term() + 1);
     vote.set_granted(true);
-    box.it->step(vote);
-    const bool went_on = box.it->role() == raft_role::candidate;
-    CHECK_EQUAL(std::string(identity) == "founder", went_on);
+    box.instance->step(vote);
+    const bool started_election = box.instance->role() == raft_role::candidate;
+    CHECK_EQUAL(std::string(identity) == "founder", started_election);
   }
 }
--- a/consensus/raft.h
+++ b/consensus/raft.h
@@ -63,7 +63,8 @@
   /// Ticks after which a leader with an unfinished write transfers its
   /// leadership; 0 waits forever.
   unsigned slow_write_ticks = 0;
-  /// Ticks of silence after which a surplus voter is removed.
+  /// Ticks of silence after which a voter no longer counts towards
+  /// `target_voters`; a surplus voter is then removed.
   unsigned silent_ticks = 20;
 };
 
@@ -112,9 +113,10 @@
   absl::Status propose_membership(const proto::membership& members);
   /// Transfers leadership to the responsive voter with the longest matching
   /// log, and steps down at once, so that a delayed transfer message is
-  /// harmless. Does nothing unless this replica leads.
+  /// harmless. Does nothing unless this replica leads and another voter is
+  /// responsive.
   void transfer_leadership();
-  /// Adds a box that may hold a replica to those of the settings.
+  /// Adds a box to `raft_settings::replica_boxes`.
   void add_replica_box(const box_id& box);
   /// Sets the data centre of a box; voters are spread over the data centres.
   void assign_data_centre(const box_id& box, const data_centre_id& data_centre);
--- a/consensus/refused-proposal-test.cc
+++ b/consensus/refused-proposal-test.cc
@@ -33,8 +33,8 @@
     settings.self = box_id("a");
     settings.identity = "founder";
     settings.slow_write_ticks = 4;
-    it = std::make_unique<replica>(settings, random_, std::move(*store), *this,
-                                   *this);
+    instance = std::make_unique<replica>(settings, random_, std::move(*store),
+                                         *this, *this);
   }
 
   void run(std::function<absl::Status()> work,
@@ -63,28 +63,28 @@
     m.set_term(term);
     m.set_granted(true);
     m.set_match(match);
-    it->receive(m);
+    instance->receive(m);
   }
   /// Makes the replica the leader of its term with its first entry committed.
   void become_leader() {
-    while (it->state().role() == raft_role::follower) it->tick();
+    while (instance->state().role() == raft_role::follower) instance->tick();
     run_disk();
-    receive_from_b(proto::raft_pre_vote_reply, it->state().term() + 1);
+    receive_from_b(proto::raft_pre_vote_reply, instance->state().term() + 1);
     run_disk();
-    receive_from_b(proto::raft_vote_reply, it->state().term());
+    receive_from_b(proto::raft_vote_reply, instance->state().term());
     run_disk();
-    receive_from_b(proto::raft_append_reply, it->state().term(), 1);
+    receive_from_b(proto::raft_append_reply, instance->state().term(), 1);
     run_disk();
-    CHECK_TRUE(it->state().is_ready_leader());
+    CHECK_TRUE(instance->state().is_ready_leader());
   }
   void tick(int n) {
     for (int i = 0; i < n; ++i) {
-      it->tick();
+      instance->tick();
       run_disk();
     }
   }
   bool contains_anywhere(const std::string& text) const {
-    const raft_log& log = it->state().log();
+    const raft_log& log = instance->state().log();
     for (uint64_t i = log.snapshot_index() + 1; i <= log.last_index(); ++i) {
       if (log.at(i).payload() == text) return true;
     }
@@ -96,7 +96,7 @@
            applied.find(text) != std::string::npos;
   }
 
-  std::unique_ptr<replica> it;
+  std::unique_ptr<replica> instance;
   std::string sent;
   std::string applied;
 
@@ -122,7 +122,8 @@
       {"just started", [](manual_box&) {}},
       {"candidate",
        [](manual_box& box) {
-         while (box.it->state().role() == raft_role::follower) box.it->tick();
+         while (box.instance->state().role() == raft_role::follower)
+           box.instance->tick();
        }},
       {"lost its majority",
        [](manual_box& box) {
@@ -132,39 +133,40 @@
       {"another leader",
        [](manual_box& box) {
          box.become_leader();
-         box.receive_from_b(proto::raft_append, box.it->state().term() + 1);
+         box.receive_from_b(proto::raft_append,
+                            box.instance->state().term() + 1);
        }},
       {"transferred leadership",
        [](manual_box& box) {
          box.become_leader();
-         box.it->transfer_leadership();
+         box.instance->transfer_leadership();
        }},
       {"full disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("earlier command").ok());
+         CHECK_TRUE(box.instance->propose("earlier command").ok());
          box.run_disk(absl::ResourceExhaustedError("full"));
        }},
       {"slow disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("earlier command").ok());
-         for (int i = 0; i < 4; ++i) box.it->tick();
+         CHECK_TRUE(box.instance->propose("earlier command").ok());
+         for (int i = 0; i < 4; ++i) box.instance->tick();
        }},
       {"failed disk",
        [](manual_box& box) {
          box.become_leader();
-         CHECK_TRUE(box.it->propose("earlier command").ok());
+         CHECK_TRUE(box.instance->propose("earlier command").ok());
          box.run_disk(absl::InternalError("broken"));
        }},
   };
   for (const auto& row : rows) {
     manual_box box(3);
     row.prepare(box);
-    const uint64_t last = box.it->state().log().last_index();
-    const absl::Status status = box.it->propose(command);
+    const uint64_t last = box.instance->state().log().last_index();
+    const absl::Status status = box.instance->propose(command);
     CHECK_TRUE_TEXT(absl::IsUnavailable(status), row.name);
-    CHECK_EQUAL_TEXT(last, box.it->state().log().last_index(), row.name);
+    CHECK_EQUAL_TEXT(last, box.instance->state().log().last_index(), row.name);
     box.tick(settle_ticks);
     CHECK_FALSE_TEXT(box.contains_anywhere(command), row.name);
   }
@@ -175,7 +177,7 @@
 TEST(refused_proposal, accepted_proposal_is_found) {
   manual_box box(3);
   box.become_leader();
-  CHECK_TRUE(box.it->propose(command).ok());
+  CHECK_TRUE(box.instance->propose(command).ok());
   box.run_disk();
   CHECK_TRUE(box.contains_anywhere(command));
   CHECK_TRUE(box.sent.find(command) != std::string::npos);
@@ -185,11 +187,12 @@
 // disk keeps the accepted proposals and never reports them as refused.
 TEST(refused_proposal, accepted_on_a_full_disk_is_applied_once_space_is_free) {
   manual_box box(1);
-  while (box.it->state().role() == raft_role::follower) box.it->tick();
+  while (box.instance->state().role() == raft_role::follower)
+    box.instance->tick();
   box.run_disk();
-  CHECK_TRUE(box.it->propose("earlier command").ok());
+  CHECK_TRUE(box.instance->propose("earlier command").ok());
   box.run_disk(absl::ResourceExhaustedError("full"));
-  CHECK_TRUE(box.it->propose(command).ok());
+  CHECK_TRUE(box.instance->propose(command).ok());
   CHECK_TRUE(box.applied.find(command) == std::string::npos);
   box.tick(settle_ticks);
   CHECK_TRUE(box.applied.find(command) != std::string::npos);
--- a/consensus/replica.h
+++ b/consensus/replica.h
@@ -66,7 +66,7 @@
   /// Transfers leadership to another voter, if this replica leads.
   void transfer_leadership();
 
-  /// Adds a box that may hold a replica to those of the settings.
+  /// Adds a box to `raft_settings::replica_boxes`.
   void add_replica_box(const box_id& box) { raft_.add_replica_box(box); }
 
   /// Sets the data centre of a box.
--- a/consensus/returning-follower-test.cc
+++ b/consensus/returning-follower-test.cc
@@ -19,7 +19,8 @@
 constexpr int boxes = 5;
 /// A link of 200 Mbit/s.
 constexpr double link_bytes_per_ms = 25'000;
-/// Heartbeat replies share the connection, and are late after 450 ms.
+/// Bound on the wait of a message on the shared link. Heartbeat replies use the
+/// same connection, and are late after 450 ms.
 constexpr int max_wait_ms = 200;
 constexpr int tick_ms = 100;
 /// Time to connect; messages sent meanwhile are queued.
@@ -47,7 +48,7 @@
 struct message_in_flight {
   int due;
   int sent;
-  proto::raft_message it;
+  proto::raft_message message;
 };
 
 /// Five replicas on a millisecond clock. All messages from b0 share one link.
@@ -109,7 +110,8 @@
 
   bool caught_up() const {
     for (int i = 0; i < boxes; ++i) {
-      // Entries proposed while an entry and its commit are in flight.
+      // Allows for the entries proposed while an entry and its commit are in
+      // flight.
       constexpr int entry_ms = 15;
       const auto allowed_lag =
           static_cast<uint64_t>(5 + 4 * scenario_.latency_ms / entry_ms);
@@ -198,7 +200,7 @@
     std::vector<proto::raft_message> due;
     std::erase_if(in_flight_, [&](const message_in_flight& it) {
       if (it.due > now_) return false;
-      due.push_back(it.it);
+      due.push_back(it.message);
       return true;
     });
     for (const proto::raft_message& it : due) {
@@ -229,9 +231,9 @@
 };
 
 void check_at_most(size_t limit, size_t found, const char* name,
-                   const char* what) {
+                   const char* quantity) {
   CHECK_TEXT(found <= limit,
-             str_cat(name, ", ", what, ": ", found, " of ", limit).c_str());
+             str_cat(name, ", ", quantity, ": ", found, " of ", limit).c_str());
 }
 
 }  // namespace
--- a/consensus/soak/main.cc
+++ b/consensus/soak/main.cc
@@ -68,7 +68,7 @@
   std::atomic<uint64_t> failed = 0;
   std::atomic<uint64_t> committed = 0;
   std::atomic<uint64_t> wipes = 0;
-  std::mutex out;
+  std::mutex output_mutex;
   const auto work = [&] {
     for (uint64_t seed = next++; seed < from + seeds; seed = next++) {
       const soak_report it = run_soak(options_for(seed, replicas, fault));
@@ -76,7 +76,7 @@
       wipes += it.wipes;
       if (it.violation.empty()) continue;
       ++failed;
-      const std::lock_guard lock(out);
+      const std::lock_guard lock(output_mutex);
       std::cout << "seed " << seed << ": " << it.violation
                 << "; replay with: support/soak record --seed " << seed << "\n";
     }
--- a/consensus/soak/soak-run.cc
+++ b/consensus/soak/soak-run.cc
@@ -166,9 +166,10 @@
 
   void start(soak_box& it) {
     it.start(false);
-    const uint64_t now = it.applied_index();
-    if (options_.fault == injected_fault::none && now < it.highest_applied()) {
-      fail(str_cat(it.box(), " starts at ", now,
+    const uint64_t index = it.applied_index();
+    if (options_.fault == injected_fault::none &&
+        index < it.highest_applied()) {
+      fail(str_cat(it.box(), " starts at ", index,
                    ", below its highest applied index ", it.highest_applied()));
     }
   }
--- a/record/box-table.h
+++ b/record/box-table.h
@@ -1,4 +1,4 @@
-// Which boxes of the system are live, by their own heartbeats.
+// Tracks which boxes of the cluster are live, from their heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace kestrelreel {
 
-/// A box as the settings name it.
+/// A box as listed in the settings.
 struct box_entry {
   box_id id;
   data_centre_id data_centre;
-  /// Where its peers reach it, `IP:PORT`.
+  /// Address at which the other boxes connect, `IP:PORT`.
   std::string peer_address;
-  /// Whether it has a data folder for the record.
+  /// True for a box with a data folder, which holds a replica of the record.
   bool replica = false;
 };
 
--- a/record/feed-progress.cc
+++ b/record/feed-progress.cc
@@ -45,14 +45,14 @@
   if (!went_back && later_arrived) return resume_after(at, now);
   const time_point since = went_back ? *resumed_at_ : stalled_since_;
   if (now - since < retry_delay()) return;
-  repeats_ = std::min(repeats_ + 1, detail::max_doublings);
+  doublings_ = std::min(doublings_ + 1, detail::max_doublings);
   resume_after(at, now);
 }
 
 milliseconds feed_progress::retry_delay() const {
   const auto transfer =
       milliseconds(bytes_in_flight_ / detail::min_link_bytes_per_ms);
-  return std::min((detail::min_retry_delay + transfer) * (1 << repeats_),
+  return std::min((detail::min_retry_delay + transfer) * (1 << doublings_),
                   detail::max_retry_delay);
 }
 
@@ -60,7 +60,7 @@
   acknowledged_ = at;
   sent_ = std::max(sent_, at);
   stalled_since_ = now;
-  repeats_ = 0;
+  doublings_ = 0;
   while (!in_flight_.empty() && in_flight_.front().last <= at) {
     bytes_in_flight_ -= in_flight_.front().bytes;
     in_flight_.pop_front();
--- a/record/feed-progress.h
+++ b/record/feed-progress.h
@@ -61,7 +61,7 @@
   // Time of the last progress while messages are in flight.
   time_point stalled_since_{};
   std::optional<time_point> resumed_at_;
-  unsigned repeats_ = 0;
+  unsigned doublings_ = 0;
 };
 
 }  // namespace kestrelreel
--- a/record/feed-test.cc
+++ b/record/feed-test.cc
@@ -25,21 +25,21 @@
 
 /// Box `r` has the replica; `e` and `f` subscribe, and may also feed each
 /// other.
-struct feed_world {
+struct feed_cluster {
   std::vector<box_entry> entries{{box_id("r"), data_centre_id("d"), "", true},
                                  {box_id("e"), data_centre_id("d"), "", false},
                                  {box_id("f"), data_centre_id("d"), "", false}};
   virtual_clock clock;
   std::deque<message_in_flight> in_flight;
   struct box {
-    box(feed_world& world, const std::string& name)
-        : id(name), table(id, world.entries, world.clock) {
-      const auto send = [&world, name](const box_id& to,
-                                       proto::peer_message m) {
-        world.in_flight.push_back({box_id(name), to, std::move(m)});
+    box(feed_cluster& cluster, const std::string& name)
+        : id(name), table(id, cluster.entries, cluster.clock) {
+      const auto send = [&cluster, name](const box_id& to,
+                                         proto::peer_message m) {
+        cluster.in_flight.push_back({box_id(name), to, std::move(m)});
       };
-      source = std::make_unique<feed_source>(state, world.clock, send);
-      sink = std::make_unique<feed_sink>(table, world.clock, send);
+      source = std::make_unique<feed_source>(state, cluster.clock, send);
+      sink = std::make_unique<feed_sink>(table, cluster.clock, send);
     }
     void apply(const proto::log_entry& entry) {
       state.apply(entry);
@@ -113,41 +113,41 @@
 
 TEST(feed, entries_arrive_despite_lost_messages) {
   for (const unsigned loss : {0u, 10u, 50u}) {
-    feed_world world;
+    feed_cluster cluster;
     uint64_t last = 0;
     for (int i = 0; i < 300; ++i) {
-      if (i % 3 == 0 && i < 200) world.commit();
-      world.step(loss);
-      CHECK_TRUE(world.e.state.applied() >= last);
-      last = world.e.state.applied();
+      if (i % 3 == 0 && i < 200) cluster.commit();
+      cluster.step(loss);
+      CHECK_TRUE(cluster.e.state.applied() >= last);
+      last = cluster.e.state.applied();
     }
-    CHECK_EQUAL(world.r.state.applied(), world.e.state.applied());
-    CHECK_EQUAL(world.r.state.applied(), world.f.state.applied());
+    CHECK_EQUAL(cluster.r.state.applied(), cluster.e.state.applied());
+    CHECK_EQUAL(cluster.r.state.applied(), cluster.f.state.applied());
   }
 }
 
 TEST(feed, an_entry_is_passed_on_within_one_step) {
-  feed_world world;
-  for (int i = 0; i < 20; ++i) world.step(0);
-  world.commit();
-  world.step(0);
-  CHECK_EQUAL(1, world.e.state.version());
+  feed_cluster cluster;
+  for (int i = 0; i < 20; ++i) cluster.step(0);
+  cluster.commit();
+  cluster.step(0);
+  CHECK_EQUAL(1, cluster.e.state.version());
 }
 
 TEST(feed, without_a_replica_boxes_feed_each_other) {
-  feed_world world;
-  for (int i = 0; i < 5; ++i) world.commit();
-  for (int i = 0; i < 30; ++i) world.step(0);
-  world.replica_up = false;
-  world.e.state = record_state();
-  for (int i = 0; i < 100; ++i) world.step(0);
-  CHECK_EQUAL(5, world.e.state.version());
+  feed_cluster cluster;
+  for (int i = 0; i < 5; ++i) cluster.commit();
+  for (int i = 0; i < 30; ++i) cluster.step(0);
+  cluster.replica_up = false;
+  cluster.e.state = record_state();
+  for (int i = 0; i < 100; ++i) cluster.step(0);
+  CHECK_EQUAL(5, cluster.e.state.version());
 }
 
 TEST(feed, a_box_far_behind_gets_a_snapshot) {
-  feed_world world;
-  for (int i = 0; i < 10; ++i) world.commit();
-  world.r.source->on_installed();
-  for (int i = 0; i < 20; ++i) world.step(0);
-  CHECK_EQUAL(10, world.e.state.version());
+  feed_cluster cluster;
+  for (int i = 0; i < 10; ++i) cluster.commit();
+  cluster.r.source->on_installed();
+  for (int i = 0; i < 20; ++i) cluster.step(0);
+  CHECK_EQUAL(10, cluster.e.state.version());
 }
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -23,7 +23,7 @@
 constexpr size_t kilobyte = 1'000;
 constexpr int tick_ms = 100;
 /// Bytes that may be sent in excess of the missing bytes.
-constexpr size_t window = 600 * kilobyte;
+constexpr size_t max_excess_bytes = 600 * kilobyte;
 /// Bound on the bytes in flight to a subscriber without progress.
 constexpr size_t max_unacknowledged = 300 * kilobyte;
 
@@ -43,8 +43,8 @@
   int request_delay_ms = 0;
   // Lost messages, in percent.
   unsigned loss_percent = 0;
-  // The subscriber only sends requests at its own interval and doesn't support
-  // snapshot parts.
+  // The subscriber runs an earlier version, which sends requests only at its
+  // own interval and doesn't support snapshot parts.
   bool earlier_version = false;
   // A second live source exists, and never answers.
   bool other_source = false;
@@ -173,9 +173,9 @@
   size_t sent_ = 0;
 };
 
-void check_sent_at_most(size_t most, size_t found, const scenario& it) {
-  CHECK_TEXT(found <= most,
-             str_cat(it.name, ": sent ", found, " of ", most).c_str());
+void check_sent_at_most(size_t limit, size_t found, const scenario& it) {
+  CHECK_TEXT(found <= limit,
+             str_cat(it.name, ": sent ", found, " of ", limit).c_str());
 }
 
 }  // namespace
@@ -219,10 +219,13 @@
     // Each entry has up to 60 bytes of overhead; small entries nearly double in
     // size.
     const size_t overhead = it.entries * 60;
-    // A request that arrives after the retry delay costs an extra window.
-    const size_t late_requests = it.request_delay_ms > 2'000 ? window : 0;
-    check_sent_at_most(feed.missing_bytes() + overhead + window + late_requests,
-                       feed.sent(), it);
+    // Each request that arrives after the retry delay causes the data in flight
+    // to be sent again.
+    const size_t late_request_bytes =
+        it.request_delay_ms > 2'000 ? max_excess_bytes : 0;
+    check_sent_at_most(
+        feed.missing_bytes() + overhead + max_excess_bytes + late_request_bytes,
+        feed.sent(), it);
   }
 }
 
--- a/record/record-state-test.cc
+++ b/record/record-state-test.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A record that takes commands as committed entries.
+/// Applies commands to a record state as committed entries.
 struct record_with_log {
   void apply(const proto::command& command) {
     proto::log_entry entry;
@@ -97,9 +97,9 @@
   it.change("base", 0, 3, 30);
   CHECK_EQUAL(proto::change_accepted, it.change("first", 3, 4, 40));
   CHECK_EQUAL(proto::change_conflict, it.change("second", 3, 4, 41));
-  const auto* told = it.state.outcome("second");
-  STRCMP_EQUAL("first", told->winner_request().c_str());
-  STRCMP_EQUAL("author of first", told->winner_author().c_str());
+  const auto* second_outcome = it.state.outcome("second");
+  STRCMP_EQUAL("first", second_outcome->winner_request().c_str());
+  STRCMP_EQUAL("author of first", second_outcome->winner_author().c_str());
 }
 
 TEST(record_state, a_resend_gets_the_first_outcome) {
--- a/record/spec.h
+++ b/record/spec.h
@@ -43,8 +43,8 @@
 /// The change that turns `from` into `to`; the caller sets versions and names.
 proto::state_change make_change(const spec_items& from, const spec_items& to);
 
-/// Contribution of one run to the digest with which a holder renews all runs of
-/// a worker at once: the CRC-64 (ECMA-182) of `TASK@ATTEMPT`.
+/// Digest of one run: the CRC-64 (ECMA-182) of `TASK@ATTEMPT`. The sum over all
+/// runs of a worker is the digest with which a holder renews them all at once.
 uint64_t run_digest(const task_id& task, attempt_number attempt);
 
 /// Conversions between the wire format's resources and the strong types.
