--- a/consensus/follower-progress-test.cc
+++ b/consensus/follower-progress-test.cc
@@ -1,5 +1,5 @@
 // A leader must count only the first rejection of a group of messages in
-// flight. When each rejection counted, the missing log was sent once per
+// flight. If each rejection counted, the missing log would be sent once per
 // rejection.
 #include "consensus/follower-progress.h"
 
--- a/consensus/raft-members-test.cc
+++ b/consensus/raft-members-test.cc
@@ -183,7 +183,7 @@
   }
 }
 
-// All learners were promoted, however many voters there were.
+// Guards against promoting all learners, however many voters there are.
 TEST(raft_members, learners_are_promoted_only_up_to_the_target) {
   struct row {
     unsigned voters;
@@ -230,7 +230,7 @@
              (find_voter(members, "b8") != nullptr));
 }
 
-// Each entry went to each learner in a message of its own.
+// Guards against sending each entry to each learner in a separate message.
 TEST(raft_members, learners_get_entries_with_heartbeats_only) {
   leader_run run(3, 3, 2);
   const auto all = [](const std::string&) { return true; };
--- a/consensus/raft-test.cc
+++ b/consensus/raft-test.cc
@@ -133,8 +133,8 @@
 
 }  // namespace
 
-// A late snapshot that the log already covered dropped acknowledged entries, so
-// that the replica applied a different entry at the same index.
+// If a late snapshot that the log already covers dropped acknowledged entries,
+// the replica could apply a different entry at the same index.
 TEST(raft, late_snapshot_keeps_acknowledged_entries) {
   single_replica box;
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
@@ -147,8 +147,8 @@
   CHECK_EQUAL(3, box.instance->commit_index());
 }
 
-// A snapshot installed before it was durable let a box restart below the index
-// that it had applied.
+// If a snapshot were installed before it is durable, a box could restart below
+// the index that it had applied.
 TEST(raft, snapshot_is_not_installed_before_it_is_durable) {
   single_replica box;
   box.instance->step(snapshot_message(box, 3));
@@ -174,8 +174,8 @@
   CHECK_EQUAL(1, box.instance->take_actions().committed.size());
 }
 
-// A replica that became a learner by an entry that no other replica held did
-// not announce itself, and never rejoined.
+// A replica that became a learner by an entry that no other replica holds must
+// announce itself; otherwise it never rejoins.
 TEST(raft, learner_without_leader_announces_itself) {
   single_replica box("other-folder");
   proto::raft_message m = box.from_leader(proto::raft_append, 0);
--- a/consensus/returning-follower-test.cc
+++ b/consensus/returning-follower-test.cc
@@ -240,8 +240,8 @@
 
 TEST_GROUP(returning_follower){};
 
-// A returning follower got its missing log once per queued message, and other
-// messages on the same connection waited for seconds.
+// Guards against sending a returning follower its missing log once per queued
+// message, which delays other messages on the same connection by seconds.
 TEST(returning_follower, gets_the_missed_entries_about_once) {
   constexpr size_t kilobyte = 1'000;
   const scenario rows[] = {
@@ -282,8 +282,8 @@
   }
 }
 
-// While a voter that the majority needed received a snapshot, it answered no
-// heartbeat round, so the leader lost its lease.
+// The leader loses its lease if a voter that the majority needs answers no
+// heartbeat round while it receives a snapshot.
 TEST(returning_follower, answers_heartbeat_rounds_during_a_snapshot) {
   constexpr int lease_ms = 650;
   for (const int latency : {1, 10, 25}) {
@@ -303,7 +303,7 @@
   }
 }
 
-// A fixed bound on the bytes in flight delayed commits when disks were slow.
+// A fixed bound on the bytes in flight would delay commits when disks are slow.
 TEST(returning_follower, commits_keep_up_on_slow_disks) {
   for (const int sync : {0, 60, 120}) {
     scenario it{"slow disks", 0, 0, 40'000};
@@ -316,8 +316,8 @@
   }
 }
 
-// Parts were resent while the first ones were still in flight, faster than a
-// slow link delivers them.
+// Guards against resending parts while the first ones are still in flight,
+// faster than a slow link delivers them.
 TEST(returning_follower, gets_a_snapshot_over_a_slow_link) {
   scenario it{"slow link", 2'000, 1, 500, 1'000, 1'000'000};
   it.slow_bytes_per_ms = 60;
--- a/record/feed-choice-test.cc
+++ b/record/feed-choice-test.cc
@@ -64,7 +64,7 @@
 
 TEST_GROUP(feed_choice){};
 
-// Two silent sources were tried alternately, and a third one never.
+// Guards against trying two silent sources alternately and a third one never.
 TEST(feed_choice, each_source_is_tried_once_per_round) {
   const scenario rows[] = {
       {"one", 1, 0, 0},
--- a/record/feed-window-test.cc
+++ b/record/feed-window-test.cc
@@ -182,7 +182,7 @@
 
 TEST_GROUP(feed_window){};
 
-// Each request caused all missing data to be sent again, although it was
+// Guards against sending all missing data again at each request, although it is
 // already in flight.
 TEST(feed_window, a_slow_subscriber_gets_missing_data_about_once) {
   const scenario rows[] = {
@@ -229,8 +229,8 @@
   }
 }
 
-// A subscriber without progress was sent 0.5 MB or the whole state at each
-// request.
+// Guards against sending a subscriber without progress 0.5 MB or the whole
+// state at each request.
 TEST(feed_window, data_in_flight_without_progress_is_bounded) {
   const scenario rows[] = {
       {"entries for 3 s", 0, 3, 3'000, kilobyte, false},
