--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -45,7 +45,7 @@
   const auto& views = workers_.views();
   return std::any_of(views.begin(), views.end(), [&](const auto& entry) {
     const worker_view& other = entry.second;
-    return other.id != it.id && other.known &&
+    return other.id != it.id && other.has_heartbeat &&
            is_shared(other.last_heartbeat_at) &&
            now - std::max(other.last_heartbeat_at, other.call_due) >=
                detail::maybe_crashed_after;
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -51,10 +51,10 @@
   const milliseconds min_time = incarnation_proof_time + loss_grace;
   const milliseconds worker_elapsed(
       static_cast<int64_t>(newer.beat.clock_ms() - newer.first_clock_ms));
-  return newer.answered && newer.id != it.id &&
-         newer.told > it.last_heartbeat_at &&
+  return newer.got_answer && newer.id != it.id &&
+         newer.last_heartbeat_at > it.last_heartbeat_at &&
          newer.first_heartbeat_at > it.first_heartbeat_at &&
-         newer.told -
+         newer.last_heartbeat_at -
                  std::max(newer.first_heartbeat_at, it.last_heartbeat_at) >=
              min_time &&
          worker_elapsed >= min_time;
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -78,8 +78,8 @@
   if (const char* fault = find_fault(beat)) {
     return reject_heartbeat(beat, fault, respond);
   }
-  const bool unheard = known_view == nullptr || !known_view->known;
-  const bool over = known_view != nullptr && known_view->over;
+  const bool unheard = known_view == nullptr || !known_view->has_heartbeat;
+  const bool over = known_view != nullptr && known_view->loss_proposed;
   if (over || (unheard && workers_.stays_ended(beat))) {
     log_event(detail::service_name, log_level::info, "heartbeat-after-end")
         .with("worker", incarnation.str())
@@ -310,8 +310,8 @@
   });
   const fleet_scheduler::reservation_result reserved =
       scheduler_.reserve_capacity(evicting_);
-  metrics_.counter("kestrelreel_rooms_kept_total") += reserved.kept;
-  metrics_.counter("kestrelreel_room_looks_total") += reserved.looks;
+  metrics_.counter("kestrelreel_rooms_kept_total") += reserved.added;
+  metrics_.counter("kestrelreel_room_looks_total") += reserved.workers_examined;
   for (const auto& [run, step] : reserved.evictions) {
     evicting_.insert(run);
     ++metrics_.counter("kestrelreel_evictions_total", {{"cause", "lasting"}});
--- a/fleet/placing.cc
+++ b/fleet/placing.cc
@@ -162,7 +162,7 @@
   for (const placement& it : placed) {
     report_late_start(it, step.spec.long_running());
     proposed_[it.task] = it.worker->id;
-    it.worker->proposed[{it.task, it.run}] = step.spec;
+    it.worker->proposed_starts[{it.task, it.run}] = step.spec;
     workers_.groups().proposing.add(*it.worker);
     fleet::run_start& start = *out.add_starts();
     *start.mutable_task() = to_ref(it.task);
--- a/fleet/reservations.cc
+++ b/fleet/reservations.cc
@@ -278,12 +278,13 @@
 /// and elsewhere while the limit on reservations is reached.
 void fleet_scheduler::drop_less_urgent(worker_view& worker, uint32_t priority,
                                        reservation_round& round) {
-  round.result.total -= std::erase_if(
-      worker.kept, [&](const auto& kept) { return !blocks(kept, priority); });
+  round.result.total -=
+      std::erase_if(worker.reservations,
+                    [&](const auto& kept) { return !blocks(kept, priority); });
   while (round.result.total >= round.max_reservations) {
     const auto found = find_less_urgent(priority);
     if (!found) return;
-    auto& kept = found->worker->kept;
+    auto& kept = found->worker->reservations;
     kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(found->index));
     --round.result.total;
   }
@@ -392,9 +393,9 @@
                                       reservation_round& round) {
   const fleet::step_spec& spec = step.spec;
   workers_.groups().with_reservations.add(*it.worker);
-  it.worker->kept.push_back({step.first, spec.cpu_milli(), spec.memory_mb(),
-                             spec.accelerators(),
-                             clock_.now() + settings_.reservation_ttl});
+  it.worker->reservations.push_back({step.first, spec.cpu_milli(),
+                                     spec.memory_mb(), spec.accelerators(),
+                                     clock_.now() + settings_.reservation_ttl});
   ++round.result.total;
   ++round.result.added;
   for (const run_key& run : it.evictions) {
