--- a/fleet/busy-leader-test-rows.h
+++ b/fleet/busy-leader-test-rows.h
@@ -43,7 +43,7 @@
     STRCMP_EQUAL_TEXT("", out.violation.c_str(), it.name);
     CHECK_TRUE_TEXT(out.done > 0, it.name);
     LONGS_EQUAL_TEXT(0, out.lapsed, it.name);
-    check_within(max_downtime, out.longest_downtime, it.name, "downtime");
+    check_within(max_downtime, out.longest_downtime, it.name, "away");
     check_within(max_order_lag, out.longest_order_lag, it.name, "order lag");
   }
 }
