--- a/fleet/beat-intake.cc
+++ b/fleet/beat-intake.cc
@@ -236,26 +236,27 @@
   const bool send_checkpoints = it.called_at - it.checkpoints_forwarded_at >=
                                 settings_.checkpoint_interval;
   if (send_checkpoints) it.checkpoints_forwarded_at = it.called_at;
-  row_map now;
+  row_map current_rows;
   for (const fleet::running_row& row : it.beat.running()) {
     const run_key key = detail::key_of(row);
     const auto before = it.forwarded_rows.find(key);
     const bool is_new = before == it.forwarded_rows.end();
-    const bool saved = !is_new && before->second.saved() != row.saved();
-    fleet::running_row& kept = now[key] = row;
-    if (is_new || (saved && send_checkpoints)) {
+    const bool checkpoint_changed =
+        !is_new && before->second.saved() != row.saved();
+    fleet::running_row& kept = current_rows[key] = row;
+    if (is_new || (checkpoint_changed && send_checkpoints)) {
       *out.add_running() = row;
     } else {
       kept.set_saved(before->second.saved());
     }
   }
   for (const auto& [key, row] : it.forwarded_rows) {
-    if (now.contains(key)) continue;
+    if (current_rows.contains(key)) continue;
     fleet::run_name& gone = *out.add_gone();
     *gone.mutable_task() = row.task();
     gone.set_run(row.run());
   }
-  it.forwarded_rows = std::move(now);
+  it.forwarded_rows = std::move(current_rows);
   if (it.called_at - it.readings_forwarded_at < settings_.readings_interval)
     return out;
   it.readings_forwarded_at = it.called_at;
--- a/fleet/beat-intake.h
+++ b/fleet/beat-intake.h
@@ -33,14 +33,15 @@
   size_t min_window = 40;
   size_t max_window = 1'024;
   /// The leader counts as overloaded while most of its answers take longer than
-  /// this. A worker drops answers after 1 s, of which a call may have waited
-  /// 100 ms on this box, and a smaller window takes effect only after about the
-  /// threshold again.
+  /// this. A worker drops answers after 1 s: a call may have waited 100 ms on
+  /// this box, and a smaller window takes effect only after another answer
+  /// time, about 450 ms.
   milliseconds slow_answer_threshold{450};
   /// A call that can't be forwarded within this time is answered with a request
   /// to retry: the rest of the worker's 1 s is too short for the leader's
   /// answer.
   milliseconds put_off_after{100};
+  /// Delay after which the worker should retry.
   milliseconds retry_delay{200};
   /// Without any answer for this time, the leader is out of reach of this box,
   /// and another box may reach it.
--- a/fleet/cancelled-test-world.h
+++ b/fleet/cancelled-test-world.h
@@ -14,7 +14,7 @@
 
 constexpr uint64_t job = 7;
 /// Strictest limit of the users, from the acknowledgement of a cancel, or from
-/// a late start after it, until the run is told to stop.
+/// a late start after it, until the run is ordered to stop.
 constexpr milliseconds max_cancel_delay{3'000};
 /// Strictest limit of the users from the order to stop a run until its end.
 constexpr milliseconds max_stop_time{900};
@@ -153,7 +153,7 @@
     *row.mutable_task() = order.task();
     row.set_run(order.run());
   }
-  /// Handles an answer. Runs that are told to stop end later.
+  /// Handles an answer. Runs that are ordered to stop end later.
   void handle_orders(const fleet::worker_orders& orders) {
     while (!beat_.ended().empty() &&
            beat_.ended(0).number() <= orders.last_end()) {
--- a/fleet/controller-late-ends.cc
+++ b/fleet/controller-late-ends.cc
@@ -15,7 +15,7 @@
 }  // namespace detail
 
 /// Records the ends in a heartbeat of uncertain incarnation. An end is valid
-/// whether or not its worker's incarnation continues, and a worker that is gone
+/// whether or not its worker's incarnation continues, and a terminated worker
 /// does not report the end again. These ends are not acknowledged here.
 void fleet_controller::record_ends_only(const fleet::worker_beat& beat) {
   worker_view* it = workers_.find(incarnation_of(beat));
--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -146,8 +146,8 @@
   world.beat("a");
   world.submit(7, {test_world::make_step(1)});
   LONGS_EQUAL(1, world.controller.book().runs_on(worker_id("a")).size());
-  // The box that led in between sent the order; this box was not told of the
-  // change.
+  // The box that led in between sent the order; this box has not learned of
+  // the change.
   world.log.leader_term += 2;
   world.controller.set_leading(true);
   world.pass(milliseconds(1'500));
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -48,11 +48,11 @@
          task->phase != task_phase::running || task->run != run.run;
 }
 
-/// A worker reports an end in its next heartbeat. If the worker is gone before
+/// A worker reports an end in its next heartbeat. If the worker leaves before
 /// that, the task is started again although it is done. Runs of a draining
 /// worker are therefore stopped while the end of the stop can still be
 /// reported, which takes two heartbeats and the wait for the log. Long-running
-/// tasks serve until the worker is gone, as their ends need no report.
+/// tasks serve until the worker leaves, as their ends need no report.
 bool fleet_controller::must_vacate(const worker_view& it) const {
   if (!it.beat.draining()) return false;
   const milliseconds remaining =
@@ -115,7 +115,7 @@
 /// Returns at most one turn's answers, those with the earliest end of lease
 /// first; workers with orders are moved ahead by `ordered_answer_lead`. Serving
 /// the longest wait first would make every answer reach its worker after the
-/// worker has given up on the call.
+/// worker's call has timed out.
 std::vector<worker_view*> fleet_controller::due_answers() {
   std::vector<worker_view*> due;
   for (worker_view* it : workers_.groups().held_calls.due_by(clock_.now())) {
@@ -272,7 +272,7 @@
 
 /// A run that was declared lost occupies capacity for as long as its worker
 /// lists it. A worker that guards its capacity refuses tasks that don't fit
-/// beside such a run.
+/// together with such a run.
 void fleet_controller::update_unrecorded_runs(worker_view& it) const {
   if (guards_capacity(it.beat.pool())) return;
   const auto& runs = book_.runs_on(it.id);
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -160,11 +160,11 @@
   return n;
 }
 
-/// A leader that was held up, or reads heartbeats late, has ends and signs of
-/// life waiting unread. It processes these before it declares anything lost,
-/// and waits longer until the backlog is read: otherwise it would declare runs
-/// lost that are done, and start their tasks again. A leader that never catches
-/// up declares losses all the same.
+/// A leader that was held up, or reads heartbeats late, has unread heartbeats
+/// waiting, with ends in them. It processes these before it declares anything
+/// lost, and waits longer until the backlog is read: otherwise it would declare
+/// runs lost that are done, and start their tasks again. A leader that never
+/// catches up declares losses all the same.
 void fleet_controller::review_read_delay() {
   const time_point now = clock_.now();
   const bool held_up = now - ticked_at_ > detail::held_up_after;
@@ -276,9 +276,9 @@
 
 /// Declares runs lost whose workers have left. A worker drops answers after
 /// `answer_limit`, so that a heartbeat sent before the leave arrives within
-/// that time or is ignored. A worker that calls after its leave is not gone
-/// yet. Runs of long-running tasks are declared lost at once: their users are
-/// without them from the leave on.
+/// that time or is ignored. A worker that calls after its leave is still
+/// running. Runs of long-running tasks are declared lost at once: their users
+/// are without them from the leave on.
 void fleet_controller::review_leaves() {
   const lease_settings& leases = workers_.leases();
   const milliseconds min_wait =
--- a/fleet/controller-submissions.cc
+++ b/fleet/controller-submissions.cc
@@ -13,8 +13,8 @@
 }  // namespace detail
 
 /// True when the book holds the job from the same host and path, even if its
-/// queue is gone: the caller would take "no such queue" for a promise that the
-/// job never runs.
+/// queue is no longer configured: the caller would take "no such queue" for a
+/// promise that the job never runs.
 bool fleet_controller::is_known_submission(const fleet::job_call& call) const {
   const job_entry* job = book_.find(job_number(call.job()));
   return job != nullptr && matches_queue(job->queue, call.host(), call.path());
--- a/fleet/crashing-task-test.cc
+++ b/fleet/crashing-task-test.cc
@@ -109,7 +109,7 @@
 }
 
 // A crash empties a worker, which then gets the pending tasks. Tasks lost in
-// one crash must not be placed beside the crashing task again.
+// one crash must not be placed on a worker with the crashing task again.
 TEST(crashing_task, tasks_lost_in_a_crash_are_not_lost_again) {
   constexpr uint64_t first = 100;
   constexpr uint64_t jobs = 47;
--- a/fleet/held-call-test.cc
+++ b/fleet/held-call-test.cc
@@ -96,7 +96,7 @@
   LONGS_EQUAL(1, slow.controller.book().runs_on(worker_id("w")).size());
 }
 
-TEST(held_call, call_with_news_is_held) {
+TEST(held_call, call_of_draining_or_busy_worker_is_held) {
   world.workers["w0"].set_draining(true);
   world.workers["w0"].set_remaining_ms(10'000);
   call("w0");
--- a/fleet/intake-directory.cc
+++ b/fleet/intake-directory.cc
@@ -13,6 +13,7 @@
 
 /// Half of the round-trip time that makes a heartbeat's answer late.
 constexpr milliseconds slow_rtt{200};
+/// A box counts as faster than a slow one below this.
 constexpr milliseconds fast_rtt{100};
 
 }  // namespace detail
@@ -57,11 +58,11 @@
 std::string intake_directory::address_for(const std::string& data_centre,
                                           const std::string& worker,
                                           time_point now) const {
-  const auto shortest = best_peer_rtt(now);
+  const auto best_rtt = best_peer_rtt(now);
   std::vector<const entry*> near;
   std::vector<const entry*> all;
   for (const auto& [box, it] : boxes_) {
-    if (!is_live(box, it, now) || is_slow_rtt(it.rtt, shortest)) continue;
+    if (!is_live(box, it, now) || is_slow_rtt(it.rtt, best_rtt)) continue;
     all.push_back(&it);
     if (it.data_centre == data_centre) near.push_back(&it);
   }
--- a/fleet/job-book.cc
+++ b/fleet/job-book.cc
@@ -218,8 +218,9 @@
 void job_book::close_run(const worker_id& worker, const run_key& run,
                          fleet::run_outcome outcome, const std::string& saved) {
   const auto found = runs_.find(worker);
-  const bool held = found != runs_.end() && found->second.erase(run) > 0;
-  if (held && found->second.empty()) runs_.erase(found);
+  const bool was_recorded =
+      found != runs_.end() && found->second.erase(run) > 0;
+  if (was_recorded && found->second.empty()) runs_.erase(found);
   task_entry* task = find_task(run.task);
   if (task == nullptr) return;
   job_entry& job = jobs_.at(run.task.job);
@@ -227,14 +228,16 @@
   const fleet::step_spec& spec = *find_step(run.task);
   // A successful end that arrives after its run was declared lost still counts
   // as long as no other run of the task is active.
-  const bool late = !held && task->phase == task_phase::waiting &&
-                    run.run <= task->run && outcome == fleet::run_done;
-  if (!held && !late) return;
-  // Another member's successful end has already completed this task.
+  const bool late_success = !was_recorded &&
+                            task->phase == task_phase::waiting &&
+                            run.run <= task->run && outcome == fleet::run_done;
+  if (!was_recorded && !late_success) return;
+  // A run that is recorded as alive and is not the task's current run: the end
+  // of another gang member has already completed the task.
   const bool current =
       task->phase == task_phase::running && task->run == run.run;
-  if (held && !current) return;
-  if (held) {
+  if (was_recorded && !current) return;
+  if (was_recorded) {
     task->phase = task_phase::waiting;
     --step.running;
   }
--- a/fleet/job-book.h
+++ b/fleet/job-book.h
@@ -22,9 +22,10 @@
 /// Worker crashes that are attributed to a task.
 struct crash_record {
   uint32_t crashes = 0;
+  /// Sum of the evidence of these crashes; see `crash_evidence_limit`.
   uint32_t evidence = 0;
-  /// The last run whose crash was counted, and the last later runs that were
-  /// ordered and that their worker listed.
+  /// The last run whose crash was counted. Of the later runs: the last one
+  /// whose start was ordered, and the last one that its worker listed.
   run_number run;
   run_number ordered;
   run_number listed;
@@ -138,8 +139,8 @@
   const std::set<worker_id>& left() const { return left_; }
   /// Data centres in which no task may start.
   const evacuations& evacuated() const { return evacuations_; }
-  /// Tasks, and gangs by their first task, whose worker crashed and that have
-  /// not run successfully since.
+  /// Tasks, and gangs by their first task, whose worker crashed and of which no
+  /// later run has been found not to crash its worker.
   const std::set<task_key>& suspects() const { return suspects_; }
   /// True for a suspect task or a member of a suspect gang, which is started
   /// separately from other tasks.
--- a/fleet/late-intake-test.cc
+++ b/fleet/late-intake-test.cc
@@ -10,15 +10,15 @@
 namespace {
 
 /// A worker calls three times per lease at any load.
-constexpr milliseconds max_unread = max_lease_duration / 3;
+constexpr milliseconds default_max_unread_time = max_lease_duration / 3;
 
 struct row {
   const char* name;
-  milliseconds answers;
-  milliseconds calls{0};
+  milliseconds answer_delay;
+  milliseconds call_delay{0};
   // Number of slow boxes out of four.
   int boxes = 1;
-  milliseconds max_unread_time = max_unread;
+  milliseconds max_unread_time = default_max_unread_time;
 };
 
 busy::outcome run_row(const row& it) {
@@ -29,7 +29,7 @@
   constexpr milliseconds length{10'000};
   busy::busy_world world(world_setting);
   world.pass(start);
-  world.delay_boxes(it.boxes, it.answers, it.calls);
+  world.delay_boxes(it.boxes, it.answer_delay, it.call_delay);
   world.pass(length);
   world.delay_boxes(it.boxes, milliseconds(0), milliseconds(0));
   world.pass(start);
--- a/fleet/load-replay-test.cc
+++ b/fleet/load-replay-test.cc
@@ -59,8 +59,8 @@
   DOUBLES_EQUAL(a.over_s, b.over_s, 0);
 }
 
-// A job with a task that crashes workers is given up within the users' budget,
-// three crashes and two more starts, and no other job is.
+// A job with a task that crashes workers fails within the users' budget, three
+// crashes and two more starts, and no other job fails.
 TEST(load_replay, crashing_jobs_are_given_up_and_no_others) {
   constexpr unsigned most_crashes = 5;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
--- a/fleet/other-writer-test.cc
+++ b/fleet/other-writer-test.cc
@@ -187,12 +187,12 @@
     LONGS_EQUAL_TEXT(0, answers, it.name);
     const fleet::beat_batch batch = intake.collect("leader");
     fleet::beat_answers from_leader;
-    for (const fleet::worker_beat& passed_on : batch.beats()) {
+    for (const fleet::worker_beat& forwarded : batch.beats()) {
       fleet::beat_answer& answer = *from_leader.add_answers();
-      answer.set_worker(incarnation_of(passed_on).str());
-      answer.set_sequence(passed_on.sequence());
+      answer.set_worker(incarnation_of(forwarded).str());
+      answer.set_sequence(forwarded.sequence());
       answer.mutable_response()->mutable_orders()->set_hold_ms(
-          passed_on.sequence() == 7 && passed_on.born() == born ? 1 : 2);
+          forwarded.sequence() == 7 && forwarded.born() == born ? 1 : 2);
     }
     intake.handle_answers(from_leader);
     LONGS_EQUAL_TEXT(1, answers, it.name);
--- a/fleet/pacing.cc
+++ b/fleet/pacing.cc
@@ -318,8 +318,8 @@
   for (size_t i = 0; i < shares.size(); ++i) costs[i].second->share = shares[i];
 }
 
-/// Share of full pace that a new backfill task could reach on the worker beside
-/// its serving and backfill tasks.
+/// Share of full pace that a new backfill task could reach on the worker in
+/// addition to its serving and backfill tasks.
 double fleet_scheduler::expected_share(const worker_view& it,
                                        const pending_step& step) const {
   const double own_use = detail::reference_use(
--- a/fleet/reservation-test-world.h
+++ b/fleet/reservation-test-world.h
@@ -1,5 +1,5 @@
 // Shared by the tests of capacity reservations: two queues, and workers that
-// end runs as soon as they are told to stop them.
+// end runs as soon as they are ordered to stop them.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 /// Covers the 3 s before capacity is reserved for a task that never started.
 constexpr milliseconds until_reserved{4'000};
 
-/// Two queues, and workers that end runs as soon as they are told to stop them.
+/// Two queues, and workers that end runs as soon as the stop is ordered.
 class reservation_world : public test_world {
  public:
   explicit reservation_world(milliseconds stop = milliseconds(200),
--- a/fleet/scheduler.h
+++ b/fleet/scheduler.h
@@ -66,7 +66,7 @@
     std::vector<eviction> evictions;
   };
   /// Reserves capacity for long-running tasks that are pending for too long and
-  /// returns the runs to evict; runs in `stopping` have been told to stop.
+  /// returns the runs to evict; runs in `stopping` have been ordered to stop.
   reservation_result reserve_capacity(const std::set<run_key>& stopping);
   /// Logs why long-running tasks have been pending for more than a second: at
   /// most once a second, for a few steps.
--- a/fleet/slow-test-world.h
+++ b/fleet/slow-test-world.h
@@ -302,7 +302,7 @@
   }
 
   /// Without other faults, an end in a heartbeat that was not delayed must be
-  /// counted, even if the worker is gone before the acknowledgement.
+  /// counted, even if the worker terminates before the acknowledgement.
   void require_listed_ends(const simulated_worker& it, time_point arrives) {
     const bool no_faults = faults_.stall + faults_.election + faults_.crash +
                                faults_.slow_read + faults_.cut ==
--- a/fleet/waiting-serving-test.cc
+++ b/fleet/waiting-serving-test.cc
@@ -300,9 +300,10 @@
 }
 
 // Guards the order of serving tasks when they alone exceed the capacity. With
-// the longest wait first, small tasks stayed pending beside gaps too small for
-// large ones, and fewer served. With small tasks first, new jobs of 17 to 23
-// small tasks took the freed capacity, and interrupted tasks waited for 10 s.
+// the longest wait first, small tasks stayed pending while gaps too small for
+// large ones stayed free, and fewer served. With small tasks first, new jobs of
+// 17 to 23 small tasks took the freed capacity, and interrupted tasks waited
+// for 10 s.
 TEST(waiting_serving, interrupted_then_small_tasks_go_first) {
   struct row {
     const char* name;
--- a/fleet/worker-drain-test.cc
+++ b/fleet/worker-drain-test.cc
@@ -2,11 +2,11 @@
 //
 // A batch task that ended successfully on a draining worker was started again
 // elsewhere 200 to 330 ms later, in three of six runs. Batch tasks ran until
-// the worker was gone, and a worker calls 50 ms after an end: an end after the
-// last heartbeat (139 ms before the end; the leave came 37 ms after it) was
-// never reported. No heartbeat followed any of 65 leaves, and workers leave
-// when they announced it: `remaining-ms` less `heard-ms-ago` of `worker-leaves`
-// was between -87 and 1 in 61 leaves.
+// the worker left, and a worker calls 50 ms after an end. The last heartbeat
+// arrived 139 ms before the end and the leave 37 ms after the end, so that the
+// end was never reported. No heartbeat followed any of 65 leaves, and workers
+// leave when they announced it: `remaining-ms` less `heard-ms-ago` of
+// `worker-leaves` was between -87 and 1 in 61 leaves.
 #include <CppUTest/TestHarness.h>
 
 #include "fleet/fleet-test-world.h"
@@ -31,8 +31,8 @@
 };
 
 // With 1 s to stop a task, heartbeats every 200 ms and 0.5 s for the log, tasks
-// are stopped 1.9 s before the worker is gone. Long-running tasks serve until
-// the worker goes.
+// are stopped 1.9 s before the worker leaves. Long-running tasks serve until
+// the worker leaves.
 TEST(worker_drain, task_is_stopped_too_late_to_report_its_end) {
   struct row {
     const char* name;
--- a/fleet/worker-leave-test.cc
+++ b/fleet/worker-leave-test.cc
@@ -103,7 +103,7 @@
     controller.set_leading(true);
     intake->leader_changed();
   }
-  /// Runs on until a lease has expired.
+  /// Lets 6 s pass, so that the lease of `a` expires, while `b` keeps calling.
   void run_past_lease() {
     for (int i = 0; i < 20; ++i) {
       heartbeat_quietly("b");
--- a/fleet/worker-life-test.cc
+++ b/fleet/worker-life-test.cc
@@ -72,8 +72,8 @@
   CHECK_FALSE(has_runs("a"));
 }
 
-// Users tolerate an outage of a serving task of 9 s if there is free capacity.
-TEST(worker_life, serving_task_of_lost_worker_is_away_for_9_s) {
+// Users tolerate an outage of 9 s of a serving task if there is free capacity.
+TEST(worker_life, outage_of_lost_workers_serving_task_lasts_9_s) {
   test_clock clock;
   test_log log;
   metrics_registry metrics;
--- a/fleet/worker-table.cc
+++ b/fleet/worker-table.cc
@@ -9,8 +9,8 @@
 namespace detail {
 
 /// Time for which ended incarnations are remembered. The platform's protocol
-/// allows heartbeats that are seconds late; this is eight of the longest
-/// leases.
+/// allows heartbeats that are seconds late; this is eight times the longest
+/// lease.
 constexpr milliseconds remember_ended_for{60'000};
 /// Bounds the memory: each of 1,100 workers may end nearly twice in that time.
 constexpr size_t max_ended_incarnations = 2'048;
@@ -163,9 +163,10 @@
   for (const auto& neighbours :
        {at_place(it.beat.address()), at_place(it.beat.machine()),
         incarnations_of(worker_name_of(it.id))}) {
-    for (const worker_view* o : neighbours) {
-      if (o == &it || o->last_heartbeat_at >= it.first_heartbeat_at) continue;
-      if (!first || o->id < *first) first = o->id;
+    for (const worker_view* other : neighbours) {
+      if (other == &it || other->last_heartbeat_at >= it.first_heartbeat_at)
+        continue;
+      if (!first || other->id < *first) first = other->id;
     }
   }
   return first;
--- a/fleet/worker-table.h
+++ b/fleet/worker-table.h
@@ -26,7 +26,7 @@
 
 /// Upper bound of a worker's lease, whatever the platform allows. The tasks of
 /// a lost worker start elsewhere only after the lease has expired, and users
-/// tolerate an outage of a serving task of 9 s where there is free capacity.
+/// tolerate an outage of 9 s of a serving task where there is free capacity.
 /// 7 s plus 2 % clock drift, two heartbeats, a commit and an order take less
 /// than 8.5 s. Network cuts of up to 6.5 s are survived.
 constexpr milliseconds max_lease_duration{7'000};
@@ -96,7 +96,7 @@
   bool is_leaving = false;
   /// When the leave was recorded in the log.
   std::optional<time_point> leave_recorded_at;
-  /// Stops were ordered for its runs, as the worker is about to go.
+  /// Stops were ordered for its runs, as the worker is about to leave.
   bool vacated = false;
   /// The loss of this incarnation was proposed: its heartbeats are ignored.
   bool loss_proposed = false;
@@ -154,7 +154,8 @@
   std::map<image_id, time_point> image_barred_until;
   /// Since when backfill tasks have been throttled hard.
   std::map<run_key, time_point> throttled_since;
-  /// Consecutive ends with outcome `failed`, and the number of their jobs.
+  /// Consecutive ends with outcome `failed`, the job of the last one, and the
+  /// number of jobs, which counts a job again if another job came between.
   unsigned failures = 0;
   job_number failed_job;
   unsigned failed_jobs = 0;
@@ -163,6 +164,8 @@
   unsigned refusals = 0;
   /// The worker gets no new tasks before this time.
   time_point avoided_until{};
+  /// Avoidances since the last successful run: each one doubles the duration of
+  /// the next, up to a limit.
   unsigned avoided_times = 0;
   /// Answers the pending call of the worker.
   std::function<void(fleet::fleet_response)> respond;
--- a/fleet/worker-vacate-test.cc
+++ b/fleet/worker-vacate-test.cc
@@ -3,9 +3,10 @@
 // A batch task ended successfully on a draining worker and was started again on
 // another one. The worker reported its remaining time in each heartbeat (4.5 s
 // at first, 0.2 s in the last one), and the run ended 36 ms before the time was
-// up. An end is listed 50 ms later at the earliest, when the worker was gone,
-// so no control box received it. The leader let all runs go on until the worker
-// was gone; it can't tell a run that ended in the last moments from one that
+// up. An end is listed 50 ms later at the earliest. The worker had left by
+// then, so no control box received the end: after a last heartbeat without the
+// end came the leave. The leader let all runs go on until the worker left; it
+// can't tell a run that ended in the last moments from one that
 // was cut off.
 #include <CppUTest/TestHarness.h>
 
@@ -124,8 +125,8 @@
   }
 }
 
-// Long-running tasks serve until their worker is gone and start elsewhere as
-// soon as it has left: users count the outage from the end of the run.
+// Long-running tasks serve until their worker leaves and start elsewhere
+// right after that: users count the outage from the end of the run.
 TEST(worker_vacate, long_running_tasks_stop_early_or_restart_late) {
   constexpr int jobs = 4;
   start_jobs(world, jobs, true);
