--- a/fleet/busy-leader-test-parts.h
+++ b/fleet/busy-leader-test-parts.h
@@ -202,7 +202,7 @@
   return settings;
 }
 
-/// Heartbeats on their way from an intake box to the leader.
+/// Heartbeats in transit from an intake box to the leader.
 struct sent_batch {
   time_point at;
   fleet::beat_batch batch;
--- a/fleet/controller-crashes.cc
+++ b/fleet/controller-crashes.cc
@@ -169,8 +169,8 @@
 }
 
 /// Records the places of workers that get a start. The next leader, which may
-/// never have heard a crashed worker, recognises from the place that another
-/// incarnation followed.
+/// never have heard from a crashed worker, recognises from the place that
+/// another incarnation followed.
 void fleet_controller::add_places(fleet::run_starts& starts) const {
   std::set<std::string> added;
   for (const fleet::run_start& it : starts.starts()) {
--- a/fleet/controller-evacuations.cc
+++ b/fleet/controller-evacuations.cc
@@ -14,7 +14,7 @@
 bool fleet_controller::is_data_centre(const std::string& name) const {
   const auto& named = settings_.data_centres;
   if (std::find(named.begin(), named.end(), name) != named.end()) return true;
-  // A new leader may not have heard that data centre's workers yet.
+  // A new leader may not have heard from that data centre's workers yet.
   if (book_.evacuated().holds(name)) return true;
   const auto& views = workers_.views();
   return std::any_of(views.begin(), views.end(), [&](const auto& it) {
@@ -23,8 +23,8 @@
 }
 
 /// Logs each order, even one that repeats the current state: an opposite order
-/// may be on its way through the log, and log order decides which order is the
-/// latest.
+/// may be received and not yet committed, and log order decides which order is
+/// the latest.
 void fleet_controller::on_evacuation(const fleet::evacuation_order& order,
                                      const respond_function& respond) {
   const bool known = is_data_centre(order.data_centre());
@@ -52,9 +52,9 @@
       .with("in-force", book_.evacuated().names());
 }
 
-/// False for a worker to which no start is sent, in whatever way the start was
-/// planned. Runs recorded for such a worker that it does not list are declared
-/// lost.
+/// False for a worker to which no start is sent, however the start was
+/// planned. Runs recorded for such a worker that the worker does not list are
+/// declared lost.
 bool fleet_controller::accepts_starts(const worker_view& it) const {
   return !it.is_leaving && !it.beat.draining() &&
          !book_.evacuated().holds(it.beat.data_centre());
--- a/fleet/controller-leases-test.cc
+++ b/fleet/controller-leases-test.cc
@@ -139,7 +139,7 @@
   LONGS_EQUAL(1'000, world.beat("w0").next_beat_ms());
 }
 
-// A leader was held up while another box led, and took a start that the other
+// A leader stalled while another box led, and mistook a start that the other
 // leader had sent for an unsent one: it placed the task a second time.
 TEST(controller_leases, start_unsent_in_an_earlier_term_is_not_withdrawn) {
   world.configure();
--- a/fleet/controller-lives.cc
+++ b/fleet/controller-lives.cc
@@ -27,7 +27,7 @@
 }
 
 /// Returns why the heartbeat can't be from the worker that it names, or null if
-/// nothing speaks against it. A worker whose pool was removed from the
+/// the heartbeat is consistent. A worker whose pool was removed from the
 /// configuration keeps its runs.
 const char* fleet_controller::find_fault(const fleet::worker_beat& beat) {
   const std::vector<worker_view*>& incarnations =
@@ -81,7 +81,7 @@
 }
 
 /// Finds the incarnation that a leave refers to, or none if the leave can only
-/// refer to one that is over. A leave without a birth time refers to the
+/// refer to an ended one. A leave without a birth time refers to the
 /// draining incarnation. Such a leave does not end an incarnation that began
 /// after another one and does not drain: the leave may have been delayed, and
 /// the runs of that incarnation would be started twice.
--- a/fleet/controller-orders.cc
+++ b/fleet/controller-orders.cc
@@ -16,8 +16,8 @@
 /// to this much: a third of the longest lease, so that the leases of the other
 /// workers hold.
 constexpr milliseconds ordered_answer_lead{2'300};
-/// A held call with a start on its way is answered up to this much later, well
-/// before the worker gives up on the call.
+/// A held call whose start is not committed yet is answered up to this much
+/// later, well before the worker's call times out.
 constexpr milliseconds held_start_grace{200};
 /// A worker sends at least this many heartbeats per lease whatever the load, so
 /// that the worker still gets work if one or two heartbeats are lost.
@@ -199,7 +199,7 @@
   }
   const milliseconds max_pause =
       workers_.leases().duration / detail::min_calls_per_lease;
-  // Only heartbeats without news are delayed: a worker reports ends at once
+  // Only heartbeats without ends are delayed: a worker reports ends at once
   // whatever its interval.
   return std::min(lag_.stretched(pause), std::max(target, max_pause));
 }
--- a/fleet/controller-reviews.cc
+++ b/fleet/controller-reviews.cc
@@ -13,7 +13,7 @@
 
 constexpr const char* service_name = "controller";
 /// Ticks are due every 100 ms. A tick that comes this late shows that the
-/// process was held up.
+/// process stalled.
 constexpr milliseconds held_up_after{400};
 /// At least this many late heartbeats between two ticks, making up more than
 /// one in `late_share_divisor`, show that heartbeats wait unread.
@@ -28,7 +28,7 @@
 /// takes 1 s.
 constexpr milliseconds read_backlog_grace{700};
 /// A live worker calls more often than this. A worker that was silent for
-/// longer while another incarnation on its machine was heard is over.
+/// longer while another incarnation on its machine called has ended.
 constexpr milliseconds dead_after{2'000};
 /// How often silent workers without runs are reviewed.
 constexpr milliseconds idle_review_interval{1'000};
@@ -160,7 +160,7 @@
   return n;
 }
 
-/// A leader that was held up, or reads heartbeats late, has unread heartbeats
+/// A leader that stalled, or reads heartbeats late, has unread heartbeats
 /// waiting, with ends in them. It processes these before it declares anything
 /// lost, and waits longer until the backlog is read: otherwise it would declare
 /// runs lost that are done, and start their tasks again. A leader that never
@@ -214,7 +214,7 @@
 /// Only one incarnation of a worker is alive. Runs of an incarnation that was
 /// outlived are declared lost without waiting for its lease, so that a serving
 /// task is back 1 s after its worker, not 7 s. Birth times can't decide which
-/// incarnation is over: they come from a clock that may be set back, and a
+/// incarnation has ended: they come from a clock that may be set back, and a
 /// delayed heartbeat would end an incarnation whose runs continue.
 void fleet_controller::review_restarts() {
   for (const std::string& name : workers_.shared_names()) {
@@ -254,7 +254,7 @@
     if (now >= it.lease_expires_at + detail::silent_worker_retention) {
       cause = loss_cause::silent;
     }
-    // A worker that this leader has not heard yet may be about to call.
+    // A worker that this leader has not heard from yet may be about to call.
     const bool silent =
         it.has_heartbeat || now - led_since_ >= detail::dead_after;
     if (silent) {
--- a/fleet/controller-workers.cc
+++ b/fleet/controller-workers.cc
@@ -159,8 +159,8 @@
       .with("draining", it.beat.draining() ? "yes" : "no");
 }
 
-/// True for a worker that drains or leaves, and for one heard for the first
-/// time: its list now decides whether its tasks are started again.
+/// True for a worker that drains or leaves, and for one that calls for the
+/// first time: its list now decides whether its tasks are started again.
 bool fleet_controller::is_starting_or_leaving(const worker_view& it) const {
   return it.is_leaving || it.beat.draining() ||
          it.first_heartbeat_at == it.last_heartbeat_at;
@@ -246,7 +246,7 @@
 
 /// A leave only stops new work for the worker. The worker's last heartbeat may
 /// arrive later, by a slower path: declaring the runs lost now would restart
-/// tasks that are done and whose end is still on its way to the leader.
+/// tasks that are done and whose end is still in transit to the leader.
 void fleet_controller::on_leave(const std::string& name, uint64_t born,
                                 const respond_function& respond) {
   const std::optional<worker_id> leaver = find_leaving_incarnation(name, born);
--- a/fleet/controller.cc
+++ b/fleet/controller.cc
@@ -131,7 +131,7 @@
   if (job != nullptr && !job->live()) {
     return respond(make_response(fleet::fleet_ok));
   }
-  // An unknown job's submission may be on its way through the log, so that the
+  // An unknown job's submission may be received and not yet committed, so the
   // cancel is logged as well: log order decides which came first. Otherwise the
   // job could run after its caller was told that it does not exist.
   fleet::fleet_command command;
--- a/fleet/crash-evidence.cc
+++ b/fleet/crash-evidence.cc
@@ -40,7 +40,7 @@
          crash.listed < run.run;
 }
 
-/// Examines a worker that only an earlier leader heard: only the recorded
+/// Examines a worker that only an earlier leader heard from: only the recorded
 /// progress of suspects is known, and not whether other workers crashed at the
 /// same time, so that a mass crash is assumed.
 std::vector<crash_finding> examine_unknown_worker(const std::set<run_key>& runs,
--- a/fleet/crashing-test-world.h
+++ b/fleet/crashing-test-world.h
@@ -1,5 +1,5 @@
 // Shared by the tests of tasks that crash their workers: workers that crash
-// when such a task starts and restart later, with other tasks beside them.
+// when such a task starts and restart later, while other tasks run too.
 #pragma once
 
 #include <functional>
--- a/fleet/lagging-leader-test.cc
+++ b/fleet/lagging-leader-test.cc
@@ -23,7 +23,7 @@
   void add_workers(int n) {
     for (int i = 0; i < n; ++i) world.beat("w" + std::to_string(1'000 + i));
   }
-  /// Simulates a leader that is held up: each tick comes half a second after
+  /// Simulates a leader that stalls: each tick comes half a second after
   /// the last one.
   void lag(milliseconds n) {
     constexpr milliseconds gap{500};
--- a/fleet/late-end-test.cc
+++ b/fleet/late-end-test.cc
@@ -27,7 +27,7 @@
     world.beat("a");
     LONGS_EQUAL(1, world.workers["a"].running_size());
     const fleet::task_ref task = world.workers["a"].running(0).task();
-    // The worker is not heard until its lease has ended.
+    // The worker does not call until its lease has ended.
     world.pass(milliseconds(4'300));
     LONGS_EQUAL(0, world.controller.book().runs_on(worker_id("a")).size());
     world.end("a", task, 1, fleet::run_done);
--- a/fleet/slow-test-parts.h
+++ b/fleet/slow-test-parts.h
@@ -80,7 +80,7 @@
   int box_;
 };
 
-/// A heartbeat on its way to a box.
+/// A heartbeat in transit to a box.
 struct heartbeat {
   time_point arrives;
   std::string incarnation;
@@ -94,14 +94,14 @@
   std::string worker;
 };
 
-/// Heartbeats that a box forwards, on their way to the leader.
+/// Heartbeats that a box forwards, in transit to the leader.
 struct forwarded_batch {
   time_point arrives;
   int from;
   fleet::beat_batch batch;
 };
 
-/// The leader's answer, on its way to the box that forwarded the heartbeat.
+/// The leader's answer, in transit to the box that forwarded the heartbeat.
 struct forwarded_answer {
   time_point arrives;
   fleet::beat_answer answer;
@@ -192,7 +192,7 @@
   });
 }
 
-/// An answer on its way to a worker.
+/// An answer in transit to a worker.
 struct answer {
   time_point arrives;
   std::string worker;
